--- a/src/gateway/change.h
+++ b/src/gateway/change.h
@@ -54,8 +54,8 @@
 typedef struct mt_change_engine_t {
   char domain[MT_CHANGE_TEXT_SIZE], ip[46], service[MT_CHANGE_TEXT_SIZE];
   uint16_t port, slots;
-  uint32_t cold; /* ms that it stays cold; 0: it is warm */
-  int64_t born;  /* which start of its name it is; 0: not told */
+  uint32_t cold;      /* ms that it stays cold; 0: it is warm */
+  int64_t started_at; /* which start of its name it is; 0: not told */
 } mt_change_engine_t;
 
 typedef struct mt_change_t {
--- a/src/gateway/drain_exchange.c
+++ b/src/gateway/drain_exchange.c
@@ -20,8 +20,8 @@
                                     uint64_t key) {
   const mt_engine_t *e = mt_engines_get(x->engines, key);
   mt_ms_t now = x->members->now;
-  if (e == NULL || !mt_engine_drains(e, now)) return NULL;
-  return now < e->drain.since + MT_ENGINE_GOSSIP_MS ? e : NULL;
+  if (e == NULL || !mt_engine_is_draining(e, now)) return NULL;
+  return now < e->drain.since + MT_ENGINE_DRAIN_GOSSIP_TTL_MS ? e : NULL;
 }
 
 static void add (mt_drain_exchange_t *x, uint64_t key) {
@@ -46,8 +46,8 @@
                      uint64_t key) {
   const mt_engine_t *e = draining(x, key);
   if (e == NULL) return;
-  m->drains[m->drains_count++] =
-      (mt_peer_drain_t){key, e->drain.born, x->members->now - e->drain.since};
+  m->drains[m->drains_count++] = (mt_peer_drain_t){
+      key, e->drain.started_at, x->members->now - e->drain.since};
 }
 
 /* Tells some routers of engines from a place in the list on, `most` of them;
--- a/src/gateway/drain_exchange.h
+++ b/src/gateway/drain_exchange.h
@@ -11,7 +11,8 @@
 ** change of the source (feed_exchange.h) and not here.
 **
 ** Datagrams come from anybody. A forged one keeps an engine from work, at
-** routers that have not heard the engine itself, for MT_ENGINE_GOSSIP_MS.
+** routers that have not heard the engine itself, for
+*MT_ENGINE_DRAIN_GOSSIP_TTL_MS.
 */
 #ifndef drain_exchange_h
 #define drain_exchange_h
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -47,9 +47,9 @@
   mt_gateway_t *gateway;
   mt_http_call_t *call;
   int number;
-  uint64_t engine; /* its key */
-  int64_t born;    /* the start of it that was meant */
-  char id[64];     /* of the request */
+  uint64_t engine;    /* its key */
+  int64_t started_at; /* the start of it that was meant */
+  char id[64];        /* of the request */
 } attempt_t;
 
 /* {== Effects ========================================================== */
@@ -146,7 +146,7 @@
   a->passage = p;
   a->number = fx->attempt;
   a->engine = engine->key;
-  a->born = engine->born;
+  a->started_at = engine->started_at;
   mt_bytes_t id = {NULL, 0};
   mt_relay_request_t *r = mtV_get(&g->relay->requests, p->number);
   if (r != NULL) id = (mt_bytes_t){r->id, strlen(r->id)};
@@ -243,8 +243,8 @@
   mt_gateway_step(ud, &event);
 }
 
-static void on_tried (void *ud, const mt_suspect_word_t *word,
-                      mt_trial_t verdict) {
+static void on_tried (void *ud, const mt_suspect_message_t *word,
+                      mt_trial_verdict_t verdict) {
   mt_relay_event_t event = {.kind = MT_RELAY_TRIED, .request = word->request};
   event.u.tried.word = word;
   event.u.tried.verdict = verdict;
@@ -354,7 +354,7 @@
                      const mt_http_headers_t *headers) {
   attempt_t *a = ud;
   mt_gateway_t *g = a->gateway;
-  mt_gateway_take_notice(g, a->engine, a->born, status, headers);
+  mt_gateway_take_notice(g, a->engine, a->started_at, status, headers);
   if (!g->dialect->belongs(headers, (mt_bytes_t){a->id, strlen(a->id)}))
     return false;
   passage_t *p = a->passage;
@@ -463,7 +463,8 @@
   uint64_t digest = mt_suspects_page_digest(mt_http_exchange_target(x));
   bool clears = mt_bytes_same(mt_http_exchange_method(x), "DELETE");
   bool known = mt_suspects_get(&g->relay->suspects, digest) != NULL;
-  const mt_suspect_word_t word = {.kind = MT_WORD_ANSWERED, .digest = digest};
+  const mt_suspect_message_t word = {.kind = MT_SUSPECT_MESSAGE_ANSWERED,
+                                     .digest = digest};
   if (clears && known) mt_gateway_peers_say(g->peers, &word);
   mt_suspects_page_list(&g->relay->suspects, mt_wake_clock_now(g->loop),
                         &g->scratch);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -40,8 +40,8 @@
   const char *service;
   int slots;
   bool draining;
-  int64_t born; /* ms of the time of day when it started; 0: not told */
-  mt_ms_t cold; /* for so long from when it was listed; 0: it is warm */
+  int64_t started_at; /* ms of the time of day when it started; 0: not told */
+  mt_ms_t cold;       /* for so long from when it was listed; 0: it is warm */
 } mt_gateway_engine_t;
 
 /* NULL and a reason when it cannot listen. */
--- a/src/gateway/gateway_feeds.c
+++ b/src/gateway/gateway_feeds.c
@@ -77,7 +77,7 @@
       break;
     case MT_SUBJECT_ROUTE:
       holds =
-          mt_catalog_leads_to(c, told->u.path.route, told->u.path.service);
+          mt_catalog_routes_to(c, told->u.path.route, told->u.path.service);
       change->kind = holds ? MT_CHANGE_ROUTE_OPENED : MT_CHANGE_ROUTE_CLOSED;
       break;
     default: break;
@@ -113,7 +113,8 @@
 static void tell_version (mt_gateway_t *g, const mt_catalog_t *catalog,
                           mt_revision_t rev) {
   declaring_t declaring = {g, rev, 0, mt_gateway_in_restore_grace(g)};
-  const mt_catalog_diff_calls_t calls = {tell_key, tell_route, &declaring};
+  const mt_catalog_diff_callbacks_t calls = {tell_key, tell_route,
+                                             &declaring};
   mt_change_t document =
       mt_change_named(MT_CHANGE_DOCUMENT, "declarations", rev);
   mt_gateway_peers_changed(g->peers, &document);
@@ -141,7 +142,7 @@
       routes, workspaces, taken ? "in-force" : "older");
   if (version == g->relay->catalog->version &&
       !mt_gateway_in_restore_grace(g))
-    mt_denials_settle(&g->relay->denials, rev);
+    mt_denials_prune(&g->relay->denials, rev);
   if (taken) mt_http_server_limits(g->callers, &limits);
 }
 
@@ -176,9 +177,9 @@
 
 static void set_state (mt_gateway_t *g, mt_engine_t *e,
                        mt_engine_state_t state, bool is_new) {
-  bool changed = e->state != state || e->vanished != 0 || is_new;
+  bool changed = e->state != state || e->unlisted_since != 0 || is_new;
   e->state = state;
-  e->vanished = 0;
+  e->unlisted_since = 0;
   if (changed) log_engine(g, e, mt_gateway_state_name(state));
 }
 
@@ -189,20 +190,20 @@
 }
 
 static void engine_left (mt_gateway_t *g, mt_engine_t *e, mt_ms_t since) {
-  bool told = e->vanished != 0 || e->state == MT_ENGINE_GONE;
+  bool told = e->unlisted_since != 0 || e->state == MT_ENGINE_GONE;
   mt_relay_engine_left(g->relay, e, since, mt_wake_clock_now(g->loop));
-  if (!told && e->vanished != 0) log_engine(g, e, "vanished");
+  if (!told && e->unlisted_since != 0) log_engine(g, e, "vanished");
 }
 
 /* Word of an earlier start of the engine, told late. */
 static bool is_earlier_start (const mt_engine_t *e,
                               const mt_gateway_engine_t *engine) {
-  return engine->born != 0 && engine->born < e->born;
+  return engine->started_at != 0 && engine->started_at < e->started_at;
 }
 
 static bool is_later_start (const mt_engine_t *e,
                             const mt_gateway_engine_t *engine) {
-  return e->born != 0 && engine->born > e->born;
+  return e->started_at != 0 && engine->started_at > e->started_at;
 }
 
 /* `since`: some router heard of it from the source then. */
@@ -226,7 +227,7 @@
     mt_gateway_engine_restarted(g, e);
     is_new = true; /* in all but its name */
   }
-  e->born = mt_max(e->born, engine->born);
+  e->started_at = mt_max(e->started_at, engine->started_at);
   snprintf(e->ip, sizeof e->ip, "%s", engine->ip);
   e->port = engine->port;
   e->slots = engine->slots;
@@ -235,7 +236,7 @@
     free(e->domain);
     e->domain = strdup(engine->domain);
     e->domain_id = mtV_id(e->domain, strlen(e->domain));
-    e->far = strcmp(e->domain, g->relay->domain) != 0;
+    e->remote = strcmp(e->domain, g->relay->domain) != 0;
   }
   uint64_t told = g->relay->counters.drains_heard;
   mt_relay_engine_listed(g->relay, e, engine->cold,
@@ -260,23 +261,23 @@
   details->port = engine->port;
   details->slots = (uint16_t)engine->slots;
   details->cold = (uint32_t)engine->cold;
-  details->born = engine->born;
+  details->started_at = engine->started_at;
   return change;
 }
 
 /* True for one that ended in an earlier era than the change which shows it as
    ready: the store's copy may be from before that end. */
 static bool may_have_ended (const mt_engine_t *e, const mt_change_t *change) {
-  bool ended = e->state != MT_ENGINE_READY || e->vanished != 0;
-  bool again = change->u.engine.born > e->born;
+  bool ended = e->state != MT_ENGINE_READY || e->unlisted_since != 0;
+  bool again = change->u.engine.started_at > e->started_at;
   bool earlier = mt_revision_era(e->rev) < mt_revision_era(change->rev);
   return change->kind == MT_CHANGE_ENGINE_READY && ended && earlier && !again;
 }
 
 static bool is_unchanged (const mt_engine_t *e,
                           const mt_change_engine_t *read) {
-  return e->state == MT_ENGINE_READY && e->vanished == 0 &&
-         e->born == read->born && strcmp(e->ip, read->ip) == 0 &&
+  return e->state == MT_ENGINE_READY && e->unlisted_since == 0 &&
+         e->started_at == read->started_at && strcmp(e->ip, read->ip) == 0 &&
          e->port == read->port && e->slots == read->slots;
 }
 
@@ -316,7 +317,7 @@
   if (mt_gateway_in_restore_grace(g)) return;
   for (size_t i = 0; i < engines->count; i++) {
     const mt_engine_t *e = engines->list[i];
-    if (e->vanished != 0 || e->state == MT_ENGINE_GONE) continue;
+    if (e->unlisted_since != 0 || e->state == MT_ENGINE_GONE) continue;
     if (mtV_get(seen, e->key) == NULL) engine_unlisted(g, e->name, rev);
   }
   mt_gateway_peers_listed(g->peers, seen, rev);
@@ -336,7 +337,7 @@
                                       .port = told->port,
                                       .service = told->service,
                                       .slots = told->slots,
-                                      .born = told->born,
+                                      .started_at = told->started_at,
                                       .draining = change->kind ==
                                                   MT_CHANGE_ENGINE_DRAINING,
                                       .cold = told->cold};
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -29,7 +29,7 @@
                             const mt_engine_t *e, const char *outcome) {
   mt_log_line(log, MT_LOG_BELIEF, now, "engine",
               "engine=%s address=%s:%u running=%d outcome=%s", e->name, e->ip,
-              e->port, e->here.running, outcome);
+              e->port, e->local.running, outcome);
 }
 
 /* Tokens of the part of the prompt that nobody shares. */
@@ -53,7 +53,7 @@
       r->engine_name[0] ? r->engine_name : "-", r->attempt,
       (number_t)(relay->now - r->arrived), r->status, r->wait_expected,
       r->first_expected, (number_t)r->first, r->standing,
-      (long long)r->tokens_in, (long long)own_tokens(r), (long long)r->unread,
-      (long long)r->fetched, r->home, (long long)r->last_event,
-      (long long)version, outcome, why);
+      (long long)r->tokens_in, (long long)own_tokens(r),
+      (long long)r->pending_prefill, (long long)r->fetched, r->home,
+      (long long)r->last_event, (long long)version, outcome, why);
 }
--- a/src/gateway/gateway_metrics.c
+++ b/src/gateway/gateway_metrics.c
@@ -46,14 +46,14 @@
 }
 
 static void suspects (const mt_relay_t *relay, mt_text_t *out) {
-  static const char *const names[MT_TRIALS] = {[MT_TRIAL_FREE] = "free",
-                                               [MT_TRIAL_GRANTED] = "granted",
-                                               [MT_TRIAL_BUSY] = "busy",
-                                               [MT_TRIAL_REFUSED] =
-                                                   "refused"};
+  static const char *const names[MT_TRIAL_COUNT] = {
+      [MT_TRIAL_FREE] = "free",
+      [MT_TRIAL_GRANTED] = "granted",
+      [MT_TRIAL_BUSY] = "busy",
+      [MT_TRIAL_REFUSED] = "refused"};
   describe(out, "suspects", "gauge",
            "Requests under which engines ended, by state.");
-  for (int i = MT_SUSPICION_NOTED; i < MT_SUSPICIONS; i++) {
+  for (int i = MT_SUSPICION_NOTED; i < MT_SUSPICION_COUNT; i++) {
     mt_suspicion_t state = (mt_suspicion_t)i;
     mt_text_format(out, PREFIX "suspects{state=\"%s\"} %zu\n",
                    mt_suspicion_name(state),
@@ -61,7 +61,7 @@
   }
   describe(out, "trials_total", "counter",
            "What owners answered about running a suspect.");
-  for (int i = 0; i < MT_TRIALS; i++)
+  for (int i = 0; i < MT_TRIAL_COUNT; i++)
     mt_text_format(out, PREFIX "trials_total{answer=\"%s\"} %llu\n", names[i],
                    (unsigned long long)relay->counters.trials[i]);
 }
--- a/src/gateway/gateway_notices.c
+++ b/src/gateway/gateway_notices.c
@@ -23,15 +23,16 @@
 ** where the answer is an earlier request's: nobody else speaks on a
 ** connection to it.
 */
-void mt_gateway_take_notice (mt_gateway_t *g, uint64_t engine, int64_t born,
-                             int status, const mt_http_headers_t *headers) {
+void mt_gateway_take_notice (mt_gateway_t *g, uint64_t engine,
+                             int64_t started_at, int status,
+                             const mt_http_headers_t *headers) {
   const mt_engine_t *e = mt_engines_get(&g->relay->engines, engine);
   const mt_engine_notice_t notice = g->dialect->notice(status, headers);
   if (!notice.draining && notice.backoff == 0) return;
   uv_update_time(g->loop); /* in a long turn a backoff would end too early */
   mt_ms_t now = mt_wake_clock_now(g->loop);
-  const mt_engine_drain_t drain = {now, born, false};
-  if (e == NULL || (born != 0 && born < e->born)) return;
+  const mt_engine_drain_t drain = {now, started_at, false};
+  if (e == NULL || (started_at != 0 && started_at < e->started_at)) return;
   const mt_relay_counters_t before = g->relay->counters;
   take(g, engine, &notice, &drain);
   if (g->relay->counters.backoffs != before.backoffs)
@@ -48,8 +49,8 @@
   mt_ms_t now = mt_wake_clock_now(g->loop);
   const mt_engine_t *e = mt_engines_get(&g->relay->engines, told->engine);
   const mt_engine_notice_t notice = {.draining = true};
-  const mt_engine_drain_t drain = {now - mt_min(told->age, now), told->born,
-                                   true};
+  const mt_engine_drain_t drain = {now - mt_min(told->age, now),
+                                   told->started_at, true};
   char text[INET_ADDRSTRLEN];
   uint64_t before = g->relay->counters.drains_heard;
   take(g, told->engine, &notice, &drain);
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -156,8 +156,8 @@
   mt_gateway_peers_t *peers = ud;
   const mt_relay_t *relay = peers->relay;
   mt_ms_t now = mt_wake_clock_now(peers->loop);
-  mt_suspect_standing_t standing =
-      mt_suspects_standing(&relay->suspects, s->digest, now);
+  mt_suspect_status_t standing =
+      mt_suspects_status(&relay->suspects, s->digest, now);
   uint64_t last = s->listed > 0 ? s->list[s->listed - 1].engine : 0;
   const mt_engine_t *e = mt_engines_get(&relay->engines, last);
   char text[INET_ADDRSTRLEN];
@@ -171,14 +171,14 @@
               (unsigned long long)standing.left, text, why);
 }
 
-static void on_verdict (void *ud, const mt_suspect_word_t *word,
-                        mt_trial_t verdict) {
+static void on_verdict (void *ud, const mt_suspect_message_t *word,
+                        mt_trial_verdict_t verdict) {
   mt_gateway_peers_t *peers = ud;
   peers->calls.tried(peers->calls.ud, word, verdict);
 }
 
 void mt_gateway_peers_say (mt_gateway_peers_t *peers,
-                           const mt_suspect_word_t *word) {
+                           const mt_suspect_message_t *word) {
   peers->members.now = mt_wake_clock_now(peers->loop);
   mt_suspect_exchange_say(&peers->suspects, word);
 }
@@ -292,9 +292,9 @@
 
 static void pack_load (mt_gateway_peers_t *peers, mt_peer_message_t *m,
                        mt_engine_t *e) {
-  m->engines[m->engines_count++] =
-      (mt_peer_engine_t){.key = e->key, .load = e->here, .tokens = e->read};
-  e->untold = false;
+  m->engines[m->engines_count++] = (mt_peer_engine_t){
+      .key = e->key, .load = e->local, .tokens = e->tokens_processed};
+  e->load_dirty = false;
   e->told = mt_wake_clock_now(peers->loop);
 }
 
@@ -303,24 +303,24 @@
                          const mt_relay_request_t *r) {
   const mt_engine_t *home =
       mt_engines_get(&peers->relay->engines, r->home_of_all);
-  if (home == NULL || !mt_prompt_memory_is_news(r)) return;
+  if (home == NULL || !mt_kv_cache_should_report(r)) return;
   uint32_t owner = owner_of(peers, home);
-  uint64_t part = mt_prompt_memory_home_part(r->parts, r->parts_count);
+  uint64_t part = mt_kv_cache_home_segment(r->parts, r->parts_count);
   if (owner == peers->members.own_ip) {
-    mt_part_holders_note(&peers->relay->holders, part, r->engine->key,
-                         mt_wake_clock_now(peers->loop));
+    mt_prefix_holders_set(&peers->relay->holders, part, r->engine->key,
+                          mt_wake_clock_now(peers->loop));
     return;
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_HOLDS);
   m->engines[m->engines_count++] = (mt_peer_engine_t){.key = r->engine->key};
-  m->parts[m->parts_count++] = (mt_prefix_part_t){.id = part};
+  m->parts[m->parts_count++] = (mt_prefix_segment_t){.id = part};
   send_out(peers, owner);
 }
 
 static void on_holds (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
   if (m->engines_count == 0 || m->parts_count == 0) return;
-  mt_part_holders_note(&peers->relay->holders, m->parts[0].id,
-                       m->engines[0].key, mt_wake_clock_now(peers->loop));
+  mt_prefix_holders_set(&peers->relay->holders, m->parts[0].id,
+                        m->engines[0].key, mt_wake_clock_now(peers->loop));
 }
 
 void mt_gateway_peers_placed (mt_gateway_peers_t *peers,
@@ -424,7 +424,7 @@
     mt_relay_quote_t quote =
         mt_relay_quote(peers->relay, key, ip, ask->parts, ask->parts_count);
     m->engines[m->engines_count++] = (mt_peer_engine_t){
-        quote.engine, quote.peers, quote.kept, quote.holder,
+        quote.engine, quote.peers, quote.cached, quote.holder,
         mt_relay_admission(peers->relay, key, owns(peers, key))};
   }
   send_out(peers, ip);
@@ -450,7 +450,7 @@
     const mt_peer_engine_t *e = &m->engines[i];
     mt_load_row_t row = {.router = ip,
                          .load = e->load,
-                         .read = e->tokens,
+                         .tokens_processed = e->tokens,
                          .valid_until = now + ROW_VALID_MS};
     mt_relay_heard_load(peers->relay, e->key, &row, m->parts, m->parts_count);
     if (m->token != 0 && e->admission != MT_ADMIT_PLACE)
--- a/src/gateway/gateway_peers.h
+++ b/src/gateway/gateway_peers.h
@@ -24,8 +24,8 @@
                                     mt_ms_t since);
 
 /* An owner's answer to a suspect that asked whether it may run. */
-typedef void (*mt_gateway_tried_t)(void *ud, const mt_suspect_word_t *word,
-                                   mt_trial_t verdict);
+typedef void (*mt_gateway_tried_t)(void *ud, const mt_suspect_message_t *word,
+                                   mt_trial_verdict_t verdict);
 
 /* Another router sent that an engine drains: as in drain_exchange.h. */
 typedef bool (*mt_gateway_drain_t)(void *ud, const mt_peer_drain_t *drain,
@@ -67,7 +67,7 @@
 /* Tells the owner of a suspect. A question that this router keeps itself is
    answered before the call returns. */
 void mt_gateway_peers_say (mt_gateway_peers_t *peers,
-                           const mt_suspect_word_t *word);
+                           const mt_suspect_message_t *word);
 
 /* An answer to this router has just advertised that an engine drains. */
 void mt_gateway_peers_draining (mt_gateway_peers_t *peers, uint64_t engine);
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -37,10 +37,10 @@
 /* Takes an event and carries out its effects; sets its time. */
 void mt_gateway_step (mt_gateway_t *gateway, mt_relay_event_t *event);
 
-/* An answer of the start `born` of an engine began: takes what it says of the
-   engine. */
+/* An answer of the start `started_at` of an engine began: takes what it says
+   of the engine. */
 void mt_gateway_take_notice (mt_gateway_t *gateway, uint64_t engine,
-                             int64_t born, int status,
+                             int64_t started_at, int status,
                              const mt_http_headers_t *headers);
 
 /* The peers' call: as in drain_exchange.h. */
--- a/src/gateway/load_teller.c
+++ b/src/gateway/load_teller.c
@@ -8,8 +8,8 @@
 #define REPEAT_MS 800 /* a load that stands is told again */
 
 static bool is_due (const mt_engine_t *e, mt_ms_t now) {
-  if (e->untold) return true;
-  return e->here.running > 0 && now - e->told >= REPEAT_MS;
+  if (e->load_dirty) return true;
+  return e->local.running > 0 && now - e->told >= REPEAT_MS;
 }
 
 static int by_owner (const void *a, const void *b) {
@@ -34,9 +34,9 @@
 void mt_load_teller_tick (mt_load_teller_t *t, mt_engines_t *engines,
                           mt_ms_t now, const mt_load_teller_calls_t *calls) {
   t->count = 0;
-  mt_engines_settle(engines);
-  for (size_t i = 0; i < engines->attended_count; i++) {
-    mt_engine_t *e = engines->attended[i];
+  mt_engines_prune_active(engines);
+  for (size_t i = 0; i < engines->active_count; i++) {
+    mt_engine_t *e = engines->active[i];
     if (!is_due(e, now)) continue;
     *mtV_push(t->due, t->count, t->cap) =
         (mt_load_due_t){calls->owner(calls->ud, e), e};
--- a/src/gateway/peer_message.c
+++ b/src/gateway/peer_message.c
@@ -73,8 +73,8 @@
   m->members_count = m->shares_count = 0;
   m->engines_count = m->parts_count = m->changes_count = 0;
   m->suspects_count = m->drains_count = 0;
-  m->word = (mt_suspect_word_t){.kind = MT_WORDS};
-  m->verdict = MT_TRIALS;
+  m->word = (mt_suspect_message_t){.kind = MT_SUSPECT_MESSAGE_COUNT};
+  m->verdict = MT_TRIAL_COUNT;
 }
 
 /* {== Packing ========================================================== */
@@ -107,7 +107,7 @@
   for (size_t i = 0; i < m->engines_count; i++) {
     const mt_peer_engine_t *e = &m->engines[i];
     msgpack_pack_uint64(pk, e->key);
-    msgpack_pack_uint64(pk, whole((double)e->load.unread));
+    msgpack_pack_uint64(pk, whole((double)e->load.pending_prefill));
     msgpack_pack_uint64(pk, whole((double)e->load.held));
     msgpack_pack_uint64(pk, whole(e->load.running));
     msgpack_pack_uint64(pk, whole((double)e->tokens));
@@ -120,7 +120,7 @@
   msgpack_pack_array(pk, m->drains_count * DRAIN_NUMBERS);
   for (size_t i = 0; i < m->drains_count; i++) {
     msgpack_pack_uint64(pk, m->drains[i].engine);
-    msgpack_pack_uint64(pk, whole((double)m->drains[i].born));
+    msgpack_pack_uint64(pk, whole((double)m->drains[i].started_at));
     msgpack_pack_uint64(pk, m->drains[i].age);
   }
 }
@@ -145,7 +145,7 @@
   msgpack_pack_uint16(pk, e->port);
   msgpack_pack_uint16(pk, e->slots);
   msgpack_pack_uint32(pk, e->cold);
-  msgpack_pack_uint64(pk, (uint64_t)e->born);
+  msgpack_pack_uint64(pk, (uint64_t)e->started_at);
 }
 
 /* What a change tells besides its name, as an array; most tell nothing. */
@@ -218,7 +218,7 @@
     msgpack_pack_uint64(pk, whole(row->earlier));
     msgpack_pack_uint64(pk, whole(row->earlier_alone));
     msgpack_pack_uint64(pk, row->age);
-    msgpack_pack_uint64(pk, row->rest);
+    msgpack_pack_uint64(pk, row->expires_in);
     for (int k = 0; k < MT_SUSPECT_ENDS_MAX; k++) {
       msgpack_pack_uint64(pk, row->list[k].engine);
       msgpack_pack_uint64(pk, row->list[k].at);
@@ -229,9 +229,10 @@
 
 /* A list of one word, or of none. */
 static void pack_word (const mt_peer_message_t *m, msgpack_packer *pk) {
-  const mt_suspect_word_t *word = &m->word;
-  msgpack_pack_array(pk, word->kind == MT_WORDS ? 0 : WORD_NUMBERS);
-  if (word->kind == MT_WORDS) return;
+  const mt_suspect_message_t *word = &m->word;
+  msgpack_pack_array(
+      pk, word->kind == MT_SUSPECT_MESSAGE_COUNT ? 0 : WORD_NUMBERS);
+  if (word->kind == MT_SUSPECT_MESSAGE_COUNT) return;
   msgpack_pack_uint8(pk, (uint8_t)word->kind);
   msgpack_pack_uint64(pk, word->digest);
   msgpack_pack_uint64(pk, word->engine);
@@ -355,7 +356,7 @@
     if (key == 0) continue;
     mt_peer_engine_t *e = &m->engines[m->engines_count++];
     e->key = key;
-    e->load.unread = bounded(&at[1], TOKENS_MOST);
+    e->load.pending_prefill = bounded(&at[1], TOKENS_MOST);
     e->load.held = bounded(&at[2], TOKENS_MOST);
     e->load.running = (int32_t)bounded(&at[3], RUNNING_MOST);
     e->tokens = bounded(&at[4], READ_MOST);
@@ -379,8 +380,8 @@
   m->parts_count = rows_of(o, PART_NUMBERS, MT_PEER_PARTS_MAX);
   for (size_t i = 0; i < m->parts_count; i++) {
     const msgpack_object *at = &o->via.array.ptr[i * PART_NUMBERS];
-    m->parts[i] = (mt_prefix_part_t){number_of(&at[0]) | 1,
-                                     bounded(&at[1], TOKENS_MOST)};
+    m->parts[i] = (mt_prefix_segment_t){number_of(&at[0]) | 1,
+                                        bounded(&at[1], TOKENS_MOST)};
   }
 }
 
@@ -399,7 +400,7 @@
   e->port = (uint16_t)bounded(&at[3], UINT16_MAX);
   e->slots = (uint16_t)bounded(&at[4], UINT16_MAX);
   e->cold = (uint32_t)bounded(&at[5], MS_MOST);
-  e->born = bounded(&at[6], INT64_MAX);
+  e->started_at = bounded(&at[6], INT64_MAX);
 }
 
 /* False when the change's details are not those of its kind. */
@@ -441,14 +442,14 @@
 }
 
 static void unpack_suspect (mt_suspect_row_t *row, const msgpack_object *at) {
-  *row =
-      (mt_suspect_row_t){.digest = number_of(&at[0]),
-                         .version = (uint64_t)bounded(&at[1], INT64_MAX),
-                         .listed = (int)bounded(&at[2], MT_SUSPECT_ENDS_MAX),
-                         .earlier = (int)bounded(&at[3], ENDS_MOST),
-                         .earlier_alone = (int)bounded(&at[4], ENDS_MOST),
-                         .age = (mt_ms_t)bounded(&at[5], SUSPECT_MS_MOST),
-                         .rest = (mt_ms_t)bounded(&at[6], SUSPECT_MS_MOST)};
+  *row = (mt_suspect_row_t){
+      .digest = number_of(&at[0]),
+      .version = (uint64_t)bounded(&at[1], INT64_MAX),
+      .listed = (int)bounded(&at[2], MT_SUSPECT_ENDS_MAX),
+      .earlier = (int)bounded(&at[3], ENDS_MOST),
+      .earlier_alone = (int)bounded(&at[4], ENDS_MOST),
+      .age = (mt_ms_t)bounded(&at[5], SUSPECT_MS_MOST),
+      .expires_in = (mt_ms_t)bounded(&at[6], SUSPECT_MS_MOST)};
   for (int k = 0; k < MT_SUSPECT_ENDS_MAX; k++) {
     const msgpack_object *end = &at[SUSPECT_NUMBERS + k * END_NUMBERS];
     row->list[k].engine = number_of(&end[0]);
@@ -469,15 +470,17 @@
 static void unpack_word (mt_peer_message_t *m, const msgpack_object *o) {
   if (o->via.array.size != WORD_NUMBERS) return;
   const msgpack_object *at = o->via.array.ptr;
-  if (number_of(&at[0]) >= MT_WORDS || number_of(&at[1]) == 0) return;
-  m->word = (mt_suspect_word_t){.kind = (mt_word_kind_t)number_of(&at[0]),
-                                .digest = number_of(&at[1]),
-                                .engine = number_of(&at[2]),
-                                .request = number_of(&at[3]),
-                                .alone = number_of(&at[4]) == 1,
-                                .age = (mt_ms_t)bounded(&at[5], MS_MOST),
-                                .lease = (mt_ms_t)bounded(&at[6], MS_MOST)};
-  m->verdict = (mt_trial_t)bounded(&at[7], MT_TRIALS);
+  if (number_of(&at[0]) >= MT_SUSPECT_MESSAGE_COUNT || number_of(&at[1]) == 0)
+    return;
+  m->word = (mt_suspect_message_t){
+      .kind = (mt_suspect_message_kind_t)number_of(&at[0]),
+      .digest = number_of(&at[1]),
+      .engine = number_of(&at[2]),
+      .request = number_of(&at[3]),
+      .alone = number_of(&at[4]) == 1,
+      .age = (mt_ms_t)bounded(&at[5], MS_MOST),
+      .lease = (mt_ms_t)bounded(&at[6], MS_MOST)};
+  m->verdict = (mt_trial_verdict_t)bounded(&at[7], MT_TRIAL_COUNT);
 }
 
 static void unpack_numbers (mt_peer_message_t *m, const msgpack_object *at) {
--- a/src/gateway/peer_message.h
+++ b/src/gateway/peer_message.h
@@ -68,9 +68,9 @@
 
 /* An engine that advertised in an answer that it drains. */
 typedef struct mt_peer_drain_t {
-  uint64_t engine; /* its key */
-  int64_t born;    /* the start of it that drains; 0: not known */
-  mt_ms_t age;     /* since any router last heard so from it */
+  uint64_t engine;    /* its key */
+  int64_t started_at; /* the start of it that drains; 0: not known */
+  mt_ms_t age;        /* since any router last heard so from it */
 } mt_peer_drain_t;
 
 /*
@@ -104,7 +104,7 @@
   size_t shares_count;
   mt_peer_engine_t engines[MT_PEER_ENGINES_MAX];
   size_t engines_count;
-  mt_prefix_part_t parts[MT_PEER_PARTS_MAX];
+  mt_prefix_segment_t parts[MT_PEER_PARTS_MAX];
   size_t parts_count;
   /* NEWS: what changed in each feed; the changes of both are in one list,
      rising revisions within a feed. */
@@ -115,8 +115,8 @@
   size_t suspects_count;
   mt_peer_drain_t drains[MT_PEER_DRAINS_MAX];
   size_t drains_count;
-  mt_suspect_word_t word; /* WORD; VERDICT: the one that it answers */
-  mt_trial_t verdict;     /* VERDICT */
+  mt_suspect_message_t word;  /* WORD; VERDICT: the one that it answers */
+  mt_trial_verdict_t verdict; /* VERDICT */
 } mt_peer_message_t;
 
 /* Bytes of changes that fit into one message beside its header. */
--- a/src/gateway/share_exchange.c
+++ b/src/gateway/share_exchange.c
@@ -189,7 +189,7 @@
                          level_t level) {
   for (size_t i = 0; i < x->shares->count; i++) {
     const mt_share_t *share = x->shares->list[i];
-    mt_share_rates_t rates = share->here;
+    mt_share_rates_t rates = share->local;
     if (level == LEVEL_SUMMED_UP) {
       rates.asked += share->peers.asked;
       rates.served += share->peers.served;
--- a/src/gateway/suspect_exchange.c
+++ b/src/gateway/suspect_exchange.c
@@ -60,29 +60,31 @@
 /* {== The owner ======================================================= */
 
 /* Whose router keeps what a word is about. */
-static uint64_t subject_of (const mt_suspect_word_t *word) {
-  bool engine = word->kind == MT_WORD_HOLD || word->kind == MT_WORD_DROP;
+static uint64_t subject_of (const mt_suspect_message_t *word) {
+  bool engine = word->kind == MT_SUSPECT_MESSAGE_LEASE_ENGINE ||
+                word->kind == MT_SUSPECT_MESSAGE_RELEASE_ENGINE;
   return engine ? word->engine : word->digest;
 }
 
 /* Who asks, as a lease's holder; never 0. */
-static uint64_t holder_of (uint32_t router, const mt_suspect_word_t *word) {
+static uint64_t holder_of (uint32_t router,
+                           const mt_suspect_message_t *word) {
   return mtV_mix(router, word->request) | 1;
 }
 
 /* Answers here are clearer than what is told of ends. */
 static bool cleared_here (mt_suspect_exchange_t *x, uint64_t digest) {
-  mt_ms_t at = mt_suspects_answered(x->suspects, digest);
+  mt_ms_t at = mt_suspects_last_answer(x->suspects, digest);
   return at != 0 &&
-         mt_suspects_cleared(x->suspects, digest, at, x->members->now);
+         mt_suspects_clear(x->suspects, digest, at, x->members->now);
 }
 
 static void on_ended (mt_suspect_exchange_t *x, uint32_t router,
-                      const mt_suspect_word_t *word) {
+                      const mt_suspect_message_t *word) {
   mt_ms_t now = x->members->now;
   const mt_suspect_end_t end = {word->engine, now - mt_min(word->age, now),
                                 word->alone};
-  bool known = !mt_suspects_ended(x->suspects, word->digest, &end, now);
+  bool known = !mt_suspects_add_end(x->suspects, word->digest, &end, now);
   bool cleared = cleared_here(x, word->digest);
   if (known) return;
   note(x, word->digest, router, cleared ? "answered" : "ended");
@@ -90,25 +92,27 @@
 }
 
 static void on_answered (mt_suspect_exchange_t *x, uint32_t router,
-                         const mt_suspect_word_t *word) {
+                         const mt_suspect_message_t *word) {
   mt_ms_t now = x->members->now, at = now - mt_min(word->age, now);
-  if (!mt_suspects_cleared(x->suspects, word->digest, at, now)) return;
+  if (!mt_suspects_clear(x->suspects, word->digest, at, now)) return;
   note(x, word->digest, router, "answered");
   spread(x, word->digest);
 }
 
-static mt_trial_t judge (mt_suspect_exchange_t *x, uint32_t router,
-                         const mt_suspect_word_t *word) {
+static mt_trial_verdict_t judge (mt_suspect_exchange_t *x, uint32_t router,
+                                 const mt_suspect_message_t *word) {
   uint64_t holder = holder_of(router, word);
   mt_ms_t now = x->members->now;
-  if (word->kind == MT_WORD_HOLD)
-    return mt_suspects_hold(x->suspects, word->engine, holder, word->lease,
-                            now);
-  return mt_suspects_try(x->suspects, word->digest, holder, word->lease, now);
+  if (word->kind == MT_SUSPECT_MESSAGE_LEASE_ENGINE)
+    return mt_suspects_lease_engine(x->suspects, word->engine, holder,
+                                    word->lease, now);
+  return mt_suspects_lease(x->suspects, word->digest, holder, word->lease,
+                           now);
 }
 
 static void answer (mt_suspect_exchange_t *x, uint32_t router,
-                    const mt_suspect_word_t *word, mt_trial_t verdict) {
+                    const mt_suspect_message_t *word,
+                    mt_trial_verdict_t verdict) {
   if (router == x->members->own_ip) {
     x->calls.tried(x->calls.ud, word, verdict);
     return;
@@ -120,25 +124,27 @@
 }
 
 static void keep (mt_suspect_exchange_t *x, uint32_t router,
-                  const mt_suspect_word_t *word) {
+                  const mt_suspect_message_t *word) {
   switch (word->kind) {
-    case MT_WORD_ENDED: on_ended(x, router, word); break;
-    case MT_WORD_ANSWERED: on_answered(x, router, word); break;
-    case MT_WORD_TRY:
-    case MT_WORD_HOLD: answer(x, router, word, judge(x, router, word)); break;
-    case MT_WORD_RELEASE:
-    case MT_WORD_DROP:
+    case MT_SUSPECT_MESSAGE_ENDED: on_ended(x, router, word); break;
+    case MT_SUSPECT_MESSAGE_ANSWERED: on_answered(x, router, word); break;
+    case MT_SUSPECT_MESSAGE_LEASE:
+    case MT_SUSPECT_MESSAGE_LEASE_ENGINE:
+      answer(x, router, word, judge(x, router, word));
+      break;
+    case MT_SUSPECT_MESSAGE_RELEASE:
+    case MT_SUSPECT_MESSAGE_RELEASE_ENGINE:
       mt_suspects_release(x->suspects, subject_of(word),
                           holder_of(router, word));
       break;
-    case MT_WORDS: break;
+    case MT_SUSPECT_MESSAGE_COUNT: break;
   }
 }
 
 /* }== */
 
 void mt_suspect_exchange_say (mt_suspect_exchange_t *x,
-                              const mt_suspect_word_t *word) {
+                              const mt_suspect_message_t *word) {
   uint32_t owner =
       mt_membership_owner(x->members, subject_of(word), EVERYWHERE);
   if (owner == x->members->own_ip) {
@@ -147,7 +153,8 @@
   }
   mt_peer_t *peer = mt_membership_know(x->members, owner);
   if (peer == NULL) return;
-  bool asks = word->kind == MT_WORD_TRY || word->kind == MT_WORD_HOLD;
+  bool asks = word->kind == MT_SUSPECT_MESSAGE_LEASE ||
+              word->kind == MT_SUSPECT_MESSAGE_LEASE_ENGINE;
   if (asks && peer->asked == 0) peer->asked = x->members->now;
   mt_peer_message_t *m = x->calls.begin(x->calls.ud, MT_PEER_WORD);
   m->word = *word;
@@ -160,17 +167,17 @@
 /* An answer that this router gave since the first of the ends clears it. */
 static void object (mt_suspect_exchange_t *x, const mt_suspect_t *s) {
   mt_ms_t now = x->members->now;
-  mt_ms_t at = mt_suspects_answered(x->suspects, s->digest);
+  mt_ms_t at = mt_suspects_last_answer(x->suspects, s->digest);
   if (s->earlier + s->listed == 0 || at == 0 || at < s->since) return;
-  const mt_suspect_word_t word = {.kind = MT_WORD_ANSWERED,
-                                  .digest = s->digest,
-                                  .age = now - mt_min(at, now)};
+  const mt_suspect_message_t word = {.kind = MT_SUSPECT_MESSAGE_ANSWERED,
+                                     .digest = s->digest,
+                                     .age = now - mt_min(at, now)};
   mt_suspect_exchange_say(x, &word);
 }
 
 static void take_row (mt_suspect_exchange_t *x, uint32_t router,
                       const mt_suspect_row_t *row) {
-  if (!mt_suspects_take(x->suspects, row, x->members->now)) return;
+  if (!mt_suspects_merge(x->suspects, row, x->members->now)) return;
   note(x, row->digest, router, "told");
   spread(x, row->digest);
   const mt_suspect_t *s = mt_suspects_get(x->suspects, row->digest);
@@ -186,7 +193,7 @@
     case MT_PEER_VERDICT:
       peer->asked = 0;
       peer->suspect = 0;
-      if (m->verdict < MT_TRIALS)
+      if (m->verdict < MT_TRIAL_COUNT)
         x->calls.tried(x->calls.ud, &m->word, m->verdict);
       break;
     default: break;
--- a/src/gateway/suspect_exchange.h
+++ b/src/gateway/suspect_exchange.h
@@ -29,7 +29,8 @@
   mt_peer_message_t *(*begin)(void *ud, mt_peer_kind_t kind);
   void (*send)(void *ud, const uint32_t *to, size_t count);
   /* An owner's answer to a request of this router. */
-  void (*tried)(void *ud, const mt_suspect_word_t *word, mt_trial_t verdict);
+  void (*tried)(void *ud, const mt_suspect_message_t *word,
+                mt_trial_verdict_t verdict);
   mt_suspect_note_t note;
   void *ud;
 } mt_suspect_exchange_calls_t;
@@ -52,7 +53,7 @@
 /* Tells the request's owner, which may be this router: then a question is
    answered before the call returns. */
 void mt_suspect_exchange_say (mt_suspect_exchange_t *exchange,
-                              const mt_suspect_word_t *word);
+                              const mt_suspect_message_t *word);
 
 /* SUSPECTS, WORD or VERDICT of another router. */
 void mt_suspect_exchange_take (mt_suspect_exchange_t *exchange,
--- a/src/gateway/suspects_page.c
+++ b/src/gateway/suspects_page.c
@@ -29,7 +29,7 @@
                             mt_text_t *out) {
   mtV_each (&suspects->by_digest, i) {
     uint64_t digest = suspects->by_digest.keys[i];
-    mt_suspect_standing_t s = mt_suspects_standing(suspects, digest, now);
+    mt_suspect_status_t s = mt_suspects_status(suspects, digest, now);
     mt_text_format(out,
                    "digest=%016llx state=%s ends=%d alone=%d left=%llu\n",
                    (unsigned long long)digest, mt_suspicion_name(s.state),
--- a/src/mtpolicy.c
+++ b/src/mtpolicy.c
@@ -189,11 +189,11 @@
 /* {== Calling ========================================================== */
 
 /* A decision in service, or a trial on the fleet or on a made-up one. */
-typedef enum mt_trial_t {
+typedef enum mt_trial_verdict_t {
   MT_TRIAL_NONE,
   MT_TRIAL_FLEET,
   MT_TRIAL_MADEUP
-} mt_trial_t;
+} mt_trial_verdict_t;
 
 /* One decision: what is asked and where the answer goes. */
 typedef struct mt_call_t {
@@ -203,7 +203,7 @@
   mt_choice_t *out;
   const char *workspace;
   int *share, *maxwaiting;
-  mt_trial_t trial;
+  mt_trial_verdict_t trial;
 } mt_call_t;
 
 /* Pushes the function that a fresh run of the program defines, or nil. */
@@ -429,8 +429,8 @@
   return decide(p, &c, fault) == MT_P_OK;
 }
 
-static bool trypools (mt_program_t *p, const mt_fleet_t *F, mt_trial_t trial,
-                      mt_fault_t *fault) {
+static bool trypools (mt_program_t *p, const mt_fleet_t *F,
+                      mt_trial_verdict_t trial, mt_fault_t *fault) {
   bool ok = true;
   for (size_t k = 0; ok && k < F->npools; k++) {
     mt_call_t c = {.F = F, .pool = &F->pools[k], .trial = trial};
--- a/src/relay/admission.c
+++ b/src/relay/admission.c
@@ -7,7 +7,7 @@
 static const mt_catalog_service_t *service_of (const mt_relay_t *relay,
                                                const mt_engine_t *e) {
   if (relay->catalog == NULL) return NULL;
-  return mt_catalog_service(relay->catalog, e->service);
+  return mt_catalog_find_service(relay->catalog, e->service);
 }
 
 /* Requests a second that the engine bears while it is cold; 0: any. */
@@ -65,7 +65,7 @@
   mt_cold_starts_note(&relay->cold, e->key, now + cold_left, now);
   mt_engine_drain_t leave;
   if (!mt_early_drains_take(&relay->early_drains, e->key, &leave)) return;
-  if (mt_engine_take_drain(e, &leave, now)) relay->counters.drains_heard++;
+  if (mt_engine_apply_drain(e, &leave, now)) relay->counters.drains_heard++;
 }
 
 /*
@@ -96,7 +96,8 @@
                                    bool keeps) {
   const mt_engine_t *e = mt_engines_get(&relay->engines, engine);
   if (e == NULL) return MT_ADMIT_UNKNOWN;
-  if (!mt_engine_stays(e, relay->now) || e->evacuated) return MT_ADMIT_NONE;
+  if (!mt_engine_is_available(e, relay->now) || e->evacuated)
+    return MT_ADMIT_NONE;
   double rate = cold_rate(relay, e);
   if (rate <= 0) return MT_ADMIT_UNKNOWN;
   return mt_cold_starts_ask(&relay->cold, engine, rate, &relay->terms.cold,
--- a/src/relay/answer.c
+++ b/src/relay/answer.c
@@ -18,7 +18,7 @@
   r->status = ev->u.head.status;
   r->events = ev->u.head.events && r->status / 100 == 2;
   r->framed = ev->u.head.framed;
-  r->heard = relay->now;
+  r->last_received = relay->now;
   switch (ev->u.head.verdict) {
     case MT_RELAY_MOVED:
       mt_relay_engine_gone(relay, e);
@@ -26,7 +26,7 @@
       mt_attempt_failed(relay, r, MT_RELAY_RETRY_MOVED, false);
       return;
     case MT_RELAY_NOT_RUN:
-      mt_engine_rejected(e, relay->now);
+      mt_engine_request_rejected(e, relay->now);
       /* Its short answer is read to the end; the connection stays. */
       mt_attempt_failed(relay, r, MT_RELAY_RETRY_SHED, false);
       return;
@@ -39,8 +39,8 @@
     return;
   }
   if (r->status < 500) {
-    mt_engine_worked(e, relay->now);
-    mt_engine_took(e, r->sent, relay->now);
+    mt_engine_succeeded(e, relay->now);
+    mt_engine_request_accepted(e, r->sent, relay->now);
     return;
   }
   if (e->backoff <= relay->now) /* else it asked for rest, and is well */
@@ -109,8 +109,8 @@
 
 void mt_answer_data (mt_relay_t *relay, mt_relay_request_t *r,
                      mt_bytes_t data) {
-  r->heard = relay->now;
-  r->engine->heard = relay->now;
+  r->last_received = relay->now;
+  r->engine->last_received = relay->now;
   if (r->events)
     on_event_data(relay, r, data);
   else
@@ -127,8 +127,8 @@
     pass_head(relay, r, (int64_t)r->body_size);
     pass_data(relay, r, (mt_bytes_t){r->body, r->body_size});
   }
-  if (r->status < 500) mt_engine_worked(r->engine, relay->now);
-  mt_quarantine_answered(relay, r);
+  if (r->status < 500) mt_engine_succeeded(r->engine, relay->now);
+  mt_quarantine_run_answered(relay, r);
   mt_request_effect(relay, MT_RELAY_DO_END, r);
   relay->counters.answers++;
   mt_request_note(relay, r, "answered", "");
@@ -141,7 +141,7 @@
     mt_attempt_lost(relay, r, MT_RELAY_RETRY_LOST);
     return;
   }
-  mt_engine_reached(r->engine, false, relay->now);
+  mt_engine_set_reachable(r->engine, false, relay->now);
   r->engine->probe = relay->now;
   mt_attempt_failed(relay, r, MT_RELAY_RETRY_CONNECT, false);
 }
--- a/src/relay/candidates.c
+++ b/src/relay/candidates.c
@@ -28,7 +28,8 @@
   if (e->service != r->service || !mt_engine_takes_work(e, relay->now))
     return false;
   if (e->unreachable || e->evacuated) return false;
-  if (e->hold > relay->now && !relay->terms.off[MT_RELAY_REST]) return false;
+  if (e->suspended_until > relay->now && !relay->terms.off[MT_RELAY_REST])
+    return false;
   return !was_tried(r, e->key);
 }
 
@@ -37,7 +38,8 @@
   mt_ms_t least = 0;
   for (size_t i = 0; i < relay->engines.count; i++) {
     const mt_engine_t *e = relay->engines.list[i];
-    if (e->service != r->service || !mt_engine_stays(e, relay->now)) continue;
+    if (e->service != r->service || !mt_engine_is_available(e, relay->now))
+      continue;
     if (e->unreachable || e->evacuated) continue;
     mt_ms_t left = mt_engine_backoff_left(e, relay->now);
     if (left == 0) return 0;
@@ -63,7 +65,7 @@
 /* True for an engine where parts of the request's prompt may gather. */
 static bool may_be_home (const mt_relay_t *relay, const mt_relay_request_t *r,
                          const mt_engine_t *e) {
-  return e->service == r->service && mt_engine_stays(e, relay->now) &&
+  return e->service == r->service && mt_engine_is_available(e, relay->now) &&
          !e->evacuated;
 }
 
@@ -74,7 +76,7 @@
 */
 static void find_homes (const mt_relay_t *relay, const mt_relay_request_t *r,
                         uint64_t but, home_t *of_all, home_t *near) {
-  uint64_t part = mt_prompt_memory_home_part(r->parts, r->parts_count);
+  uint64_t part = mt_kv_cache_home_segment(r->parts, r->parts_count);
   *of_all = *near = (home_t){NULL, 0};
   if (part == 0 || relay->terms.off[MT_RELAY_HOME]) return;
   for (size_t i = 0; i < relay->engines.count; i++) {
@@ -82,7 +84,7 @@
     if (e->key == but || !may_be_home(relay, r, e)) continue;
     uint64_t weight = mtV_mix(part, e->key);
     keep_heavier(of_all, e, weight);
-    if (!e->far) keep_heavier(near, e, weight);
+    if (!e->remote) keep_heavier(near, e, weight);
   }
 }
 
@@ -148,9 +150,10 @@
   const mt_domain_load_t *best = NULL;
   for (size_t i = 0; i < relay->engines.count; i++) {
     const mt_engine_t *e = relay->engines.list[i];
-    if (!e->far || !askable(relay, r, e)) continue;
+    if (!e->remote || !askable(relay, r, e)) continue;
     const mt_domain_load_t *load = mt_domain_loads_get(relay, e);
-    if (best != NULL && load->unread >= best->unread) continue;
+    if (best != NULL && load->pending_prefill >= best->pending_prefill)
+      continue;
     if (asks_domain(relay, r, e->domain_id)) continue;
     if (mt_placement_may_have_room(relay, r, load)) best = load;
   }
@@ -160,13 +163,13 @@
 /* The home of the request's parts there; without parts any engine. */
 static const mt_engine_t *next_far_home (mt_relay_t *relay,
                                          const mt_relay_request_t *r) {
-  uint64_t part = mt_prompt_memory_home_part(r->parts, r->parts_count);
+  uint64_t part = mt_kv_cache_home_segment(r->parts, r->parts_count);
   const mt_domain_load_t *load = next_domain(relay, r);
   home_t home = {NULL, 0};
   if (part == 0) part = r->number;
   for (size_t i = 0; load != NULL && i < relay->engines.count; i++) {
     const mt_engine_t *e = relay->engines.list[i];
-    if (!e->far || e->domain_id != load->domain) continue;
+    if (!e->remote || e->domain_id != load->domain) continue;
     if (!askable(relay, r, e)) continue;
     keep_heavier(&home, e, mtV_mix(part, e->key));
   }
@@ -200,7 +203,7 @@
   bool cold = asks_cold(relay, r);
   for (size_t i = 0; i < count && found < LOOKED_AT_MOST; i++) {
     mt_engine_t *e = relay->engines.list[(start + i) % count];
-    if (e->far || e->service != r->service) continue;
+    if (e->remote || e->service != r->service) continue;
     if (mt_quotes_find(r, e->key) != NULL) continue;
     if (!mt_candidates_usable(relay, r, e)) continue;
     if (cold && mt_admission_is_cold(relay, e)) continue;
--- a/src/relay/catalog.c
+++ b/src/relay/catalog.c
@@ -59,7 +59,7 @@
   free(c->routes);
   free(c->services);
   free(c->workspaces);
-  free(c->next_of_host);
+  free(c->next_same_host);
   mtV_each (&c->keys, i) free_keys(c->keys.vals[i]);
   mtV_free(&c->keys);
   mtV_free(&c->hosts);
@@ -109,7 +109,7 @@
 }
 
 /* Takes the same time whatever the difference. */
-static bool same_secret (const mt_catalog_key_t *key, mt_bytes_t given) {
+static bool equals_key (const mt_catalog_key_t *key, mt_bytes_t given) {
   unsigned char difference = 0;
   if (key->size != given.n) return false;
   for (size_t i = 0; i < given.n; i++)
@@ -132,21 +132,22 @@
   }
 }
 
-void mt_catalog_close (mt_catalog_t *c) {
-  c->next_of_host = mtV_new((c->routes_count + 1) * sizeof(size_t));
+void mt_catalog_build_index (mt_catalog_t *c) {
+  c->next_same_host = mtV_new((c->routes_count + 1) * sizeof(size_t));
   for (size_t i = 0; i < c->routes_count; i++) {
     uint64_t host = host_hash(bytes_of(c->routes[i].host));
-    c->next_of_host[i] = (size_t)(uintptr_t)mtV_get(&c->hosts, host);
+    c->next_same_host[i] = (size_t)(uintptr_t)mtV_get(&c->hosts, host);
     mtV_put(&c->hosts, host, (void *)(uintptr_t)(i + 1));
   }
   set_objectives(c);
 }
 
-const mt_catalog_route_t *
-mt_catalog_route (const mt_catalog_t *c, mt_bytes_t host, mt_bytes_t path) {
+const mt_catalog_route_t *mt_catalog_find_route (const mt_catalog_t *c,
+                                                 mt_bytes_t host,
+                                                 mt_bytes_t path) {
   const mt_catalog_route_t *best = NULL;
   size_t i = (size_t)(uintptr_t)mtV_get(&c->hosts, host_hash(host));
-  for (; i != 0; i = c->next_of_host[i - 1]) {
+  for (; i != 0; i = c->next_same_host[i - 1]) {
     const mt_catalog_route_t *r = &c->routes[i - 1];
     if (r->prefix_size > path.n) continue;
     if (memcmp(r->prefix, path.p, r->prefix_size) != 0) continue;
@@ -155,15 +156,15 @@
   return best;
 }
 
-const mt_catalog_workspace_t *mt_catalog_key (const mt_catalog_t *c,
-                                              mt_bytes_t key) {
+const mt_catalog_workspace_t *
+mt_catalog_find_workspace (const mt_catalog_t *c, mt_bytes_t key) {
   const mt_catalog_key_t *k = mtV_get(&c->keys, key_hash(key));
-  while (k != NULL && !same_secret(k, key)) k = k->next;
+  while (k != NULL && !equals_key(k, key)) k = k->next;
   return k == NULL ? NULL : &c->workspaces[k->workspace];
 }
 
-const mt_catalog_service_t *mt_catalog_service (const mt_catalog_t *c,
-                                                mt_id_t id) {
+const mt_catalog_service_t *mt_catalog_find_service (const mt_catalog_t *c,
+                                                     mt_id_t id) {
   for (size_t i = 0; i < c->services_count; i++)
     if (c->services[i].id == id) return &c->services[i];
   return NULL;
--- a/src/relay/catalog.h
+++ b/src/relay/catalog.h
@@ -41,13 +41,14 @@
 typedef struct mt_catalog_service_t {
   char *name;
   mt_id_t id;
-  int connections;   /* that one engine takes from all callers */
-  bool model;        /* a language model: prompts, kept prefixes */
-  int64_t memory;    /* tokens that one engine holds */
-  mt_ms_t objective; /* the shortest of its stream routes; 0: none */
-  bool moves; /* its engines can take kept parts of prompts from each other */
-  int64_t token_bytes; /* of an engine's memory for one token */
-  double link_mbps;    /* of an engine's link to the others */
+  int connections;     /* that one engine takes from all callers */
+  bool model;          /* a language model: prompts, kept prefixes */
+  int64_t kv_capacity; /* tokens that one engine holds */
+  mt_ms_t objective;   /* the shortest of its stream routes; 0: none */
+  bool kv_transfer;    /* its engines can take kept parts of prompts from each
+                          other */
+  int64_t kv_bytes_per_token; /* of an engine's memory for one token */
+  double link_mbps;           /* of an engine's link to the others */
   double cold_rate; /* requests a second that a cold engine bears; 0: any */
   mt_ms_t cold;     /* an engine that starts is cold for so long */
 } mt_catalog_service_t;
@@ -80,9 +81,9 @@
   size_t services_count, services_cap;
   mt_catalog_workspace_t *workspaces;
   size_t workspaces_count, workspaces_cap;
-  mt_map_t keys;        /* hash of a key -> mt_catalog_key_t, owned */
-  mt_map_t hosts;       /* hash of a host -> first route's index + 1 */
-  size_t *next_of_host; /* per route: the next of its host + 1 */
+  mt_map_t keys;          /* hash of a key -> mt_catalog_key_t, owned */
+  mt_map_t hosts;         /* hash of a host -> first route's index + 1 */
+  size_t *next_same_host; /* per route: the next of its host + 1 */
   mt_catalog_limits_t limits;
 } mt_catalog_t;
 
@@ -101,15 +102,16 @@
 void mt_catalog_add_key (mt_catalog_t *catalog, const char *key);
 
 /* Builds the indexes, once all is added. */
-void mt_catalog_close (mt_catalog_t *catalog);
+void mt_catalog_build_index (mt_catalog_t *catalog);
 
 /* The route with the longest prefix of the path, or NULL. */
-const mt_catalog_route_t *mt_catalog_route (const mt_catalog_t *catalog,
-                                            mt_bytes_t host, mt_bytes_t path);
+const mt_catalog_route_t *mt_catalog_find_route (const mt_catalog_t *catalog,
+                                                 mt_bytes_t host,
+                                                 mt_bytes_t path);
 /* The workspace that holds this key, or NULL. */
-const mt_catalog_workspace_t *mt_catalog_key (const mt_catalog_t *catalog,
-                                              mt_bytes_t key);
-const mt_catalog_service_t *mt_catalog_service (const mt_catalog_t *catalog,
-                                                mt_id_t id);
+const mt_catalog_workspace_t *
+mt_catalog_find_workspace (const mt_catalog_t *catalog, mt_bytes_t key);
+const mt_catalog_service_t *
+mt_catalog_find_service (const mt_catalog_t *catalog, mt_id_t id);
 
 #endif
--- a/src/relay/catalog_diff.c
+++ b/src/relay/catalog_diff.c
@@ -9,21 +9,25 @@
 /* {== Keys ============================================================= */
 
 /* True when the key stands for the same workspace in both versions. */
-static bool holds_key (const mt_catalog_t *in, const mt_catalog_key_t *key,
-                       const mt_catalog_t *of) {
+static bool maps_to_same_workspace (const mt_catalog_t *in,
+                                    const mt_catalog_key_t *key,
+                                    const mt_catalog_t *of) {
   const mt_catalog_workspace_t *w =
-      mt_catalog_key(in, (mt_bytes_t){key->text, key->size});
+      mt_catalog_find_workspace(in, (mt_bytes_t){key->text, key->size});
   return w != NULL && w->id == of->workspaces[key->workspace].id;
 }
 
 /* Keys of one version that the other does not hold. */
-static void each_key (const mt_catalog_t *of, const mt_catalog_t *other,
-                      bool granted, const mt_catalog_diff_calls_t *calls) {
+static void
+report_missing_keys (const mt_catalog_t *of, const mt_catalog_t *other,
+                     bool granted,
+                     const mt_catalog_diff_callbacks_t *callbacks) {
   mtV_each (&of->keys, i) {
     const mt_catalog_key_t *key = of->keys.vals[i];
     for (; key != NULL; key = key->next)
-      if (!holds_key(other, key, of))
-        calls->key(calls->ud, (mt_bytes_t){key->text, key->size}, granted);
+      if (!maps_to_same_workspace(other, key, of))
+        callbacks->key(callbacks->ud, (mt_bytes_t){key->text, key->size},
+                       granted);
   }
 }
 
@@ -42,22 +46,24 @@
   return NULL;
 }
 
-static bool leads_to (const mt_catalog_route_t *r, mt_id_t service) {
+static bool routes_to (const mt_catalog_route_t *r, mt_id_t service) {
   for (int i = 0; r != NULL && i < r->splits; i++)
     if (r->split[i].service == service && r->split[i].weight > 0) return true;
   return false;
 }
 
 /* What routes of one version lead to, and those of the other do not. */
-static void each_route (const mt_catalog_t *of, const mt_catalog_t *other,
-                        bool opened, const mt_catalog_diff_calls_t *calls) {
+static void
+report_missing_routes (const mt_catalog_t *of, const mt_catalog_t *other,
+                       bool opened,
+                       const mt_catalog_diff_callbacks_t *callbacks) {
   for (size_t i = 0; i < of->routes_count; i++) {
     const mt_catalog_route_t *r = &of->routes[i];
     const mt_catalog_route_t *same = find_route(other, r);
     for (int k = 0; k < r->splits; k++) {
       mt_id_t service = r->split[k].service;
-      if (leads_to(r, service) && !leads_to(same, service))
-        calls->route(calls->ud, r->id, service, opened);
+      if (routes_to(r, service) && !routes_to(same, service))
+        callbacks->route(callbacks->ud, r->id, service, opened);
     }
   }
 }
@@ -65,19 +71,19 @@
 /* }== */
 
 void mt_catalog_diff (const mt_catalog_t *from, const mt_catalog_t *to,
-                      const mt_catalog_diff_calls_t *calls) {
-  each_key(from, to, false, calls);
-  each_key(to, from, true, calls);
-  each_route(from, to, false, calls);
-  each_route(to, from, true, calls);
+                      const mt_catalog_diff_callbacks_t *callbacks) {
+  report_missing_keys(from, to, false, callbacks);
+  report_missing_keys(to, from, true, callbacks);
+  report_missing_routes(from, to, false, callbacks);
+  report_missing_routes(to, from, true, callbacks);
 }
 
 /* {== What neighbours name ============================================= */
 
-bool mt_catalog_leads_to (const mt_catalog_t *c, mt_id_t route,
-                          mt_id_t service) {
+bool mt_catalog_routes_to (const mt_catalog_t *c, mt_id_t route,
+                           mt_id_t service) {
   for (size_t i = 0; i < c->routes_count; i++)
-    if (c->routes[i].id == route && leads_to(&c->routes[i], service))
+    if (c->routes[i].id == route && routes_to(&c->routes[i], service))
       return true;
   return false;
 }
--- a/src/relay/denials.c
+++ b/src/relay/denials.c
@@ -55,7 +55,7 @@
   return find_route(d, route, service) < d->routes_count;
 }
 
-void mt_denials_settle (mt_denials_t *d, mt_revision_t rev) {
+void mt_denials_prune (mt_denials_t *d, mt_revision_t rev) {
   for (size_t i = d->keys_count; i-- > 0;)
     if (d->keys[i].rev <= rev) d->keys[i] = d->keys[--d->keys_count];
   for (size_t i = d->routes_count; i-- > 0;)
--- a/src/relay/denials.h
+++ b/src/relay/denials.h
@@ -41,6 +41,6 @@
                            mt_id_t service);
 
 /* The declarations of that revision are in force: they say it themselves. */
-void mt_denials_settle (mt_denials_t *denials, mt_revision_t rev);
+void mt_denials_prune (mt_denials_t *denials, mt_revision_t rev);
 
 #endif
--- a/src/relay/domain_load.c
+++ b/src/relay/domain_load.c
@@ -26,8 +26,9 @@
 void mt_domain_loads_learn (mt_relay_t *relay, const mt_engine_t *e,
                             const mt_engine_load_t *told) {
   mt_domain_load_t *load = mt_domain_loads_get(relay, e);
-  double unread = (double)told->unread;
-  if (load->told == 0) load->unread = unread;
-  load->unread += (unread - load->unread) * SAMPLE_PART;
+  double pending_prefill = (double)told->pending_prefill;
+  if (load->told == 0) load->pending_prefill = pending_prefill;
+  load->pending_prefill +=
+      (pending_prefill - load->pending_prefill) * SAMPLE_PART;
   load->told = relay->now;
 }
--- a/src/relay/early_drains.c
+++ b/src/relay/early_drains.c
@@ -18,12 +18,12 @@
 
 static bool is_newer (const mt_engine_drain_t *a,
                       const mt_engine_drain_t *b) {
-  if (a->born != b->born) return a->born > b->born;
+  if (a->started_at != b->started_at) return a->started_at > b->started_at;
   return a->since > b->since;
 }
 
-void mt_early_drains_note (mt_early_drains_t *l, uint64_t engine,
-                           const mt_engine_drain_t *drain) {
+void mt_early_drains_add (mt_early_drains_t *l, uint64_t engine,
+                          const mt_engine_drain_t *drain) {
   mt_early_drain_t *known = find(l, engine);
   if (known != NULL && !is_newer(drain, &known->drain)) return;
   if (known == NULL)
--- a/src/relay/early_drains.h
+++ b/src/relay/early_drains.h
@@ -23,8 +23,8 @@
 } mt_early_drains_t;
 
 /* Keeps the notice; of one engine, that of its latest start. */
-void mt_early_drains_note (mt_early_drains_t *drains, uint64_t engine,
-                           const mt_engine_drain_t *drain);
+void mt_early_drains_add (mt_early_drains_t *drains, uint64_t engine,
+                          const mt_engine_drain_t *drain);
 
 /* Takes the engine's notice out of the table; false when there is none. */
 bool mt_early_drains_take (mt_early_drains_t *drains, uint64_t engine,
--- a/src/relay/engine.c
+++ b/src/relay/engine.c
@@ -7,22 +7,22 @@
 
 #include "engine.h"
 
-#define HOLD_FIRST_MS 200
-#define HOLD_MAX_MS 3200
-#define PROBE_MS 200    /* between tries to reach one */
-#define FREE_FAILURES 1 /* in a row that do not hold it yet */
+#define SUSPEND_FIRST_MS 200
+#define SUSPEND_MAX_MS 3200
+#define PROBE_INTERVAL_MS 200 /* between tries to reach one */
+#define FAILURES_TOLERATED 1  /* in a row that do not hold it yet */
 /* An engine that turns requests away knows little of what comes after a
    minute, and one that says a year by mistake is not to be lost. */
 #define BACKOFF_MAX_MS 60000
 /* Part of a backoff by which its end may be put off: many routers are
    rejected in the same moment, and would come back in the same one. */
-#define BACKOFF_SPREAD 10
+#define BACKOFF_JITTER_DIVISOR 10
 /* An engine that turns a request away does so at once: one that has not in
    that time takes it. */
-#define RESUME_MS 100
-#define REJECTION_WEIGHT 0.2     /* of one attempt in the rejection rate */
-#define REJECTION_FADE_MS 2000.0 /* time constant without attempts */
-#define REJECTION_HOLD_MS 30     /* no work behind a rejection */
+#define HALF_OPEN_MS 100
+#define REJECTION_WEIGHT 0.2      /* of one attempt in the rejection rate */
+#define REJECTION_DECAY_MS 2000.0 /* time constant without attempts */
+#define REJECTION_SUSPEND_MS 30   /* no work behind a rejection */
 
 uint64_t mt_engine_key (const char *name, size_t size) {
   return mtV_hash(name, size) | 1;
@@ -34,7 +34,7 @@
   if (e != NULL) return e;
   e = mtV_new(sizeof *e);
   e->table = engines;
-  e->place = engines->count;
+  e->list_index = engines->count;
   e->key = key;
   e->name = strdup(name);
   e->slowness = 1.0;
@@ -48,7 +48,7 @@
 }
 
 static void free_engine (mt_engine_t *e) {
-  mt_prefix_cache_free(&e->kept);
+  mt_prefix_cache_free(&e->cached);
   free(e->name);
   free(e->domain);
   free(e);
@@ -56,28 +56,28 @@
 
 /* {== Those that a tick looks at ======================================= */
 
-static void attend (mt_engine_t *e) {
+static void activate (mt_engine_t *e) {
   mt_engines_t *t = e->table;
-  if (e->attended) return;
-  e->attended = true;
-  *mtV_push(t->attended, t->attended_count, t->attended_cap) = e;
+  if (e->active) return;
+  e->active = true;
+  *mtV_push(t->active, t->active_count, t->active_cap) = e;
 }
 
-static void disregard (mt_engines_t *t, size_t index) {
-  t->attended[index]->attended = false;
-  t->attended[index] = t->attended[--t->attended_count];
+static void deactivate (mt_engines_t *t, size_t index) {
+  t->active[index]->active = false;
+  t->active[index] = t->active[--t->active_count];
 }
 
 void mt_engine_load_changed (mt_engine_t *e) {
-  e->untold = true;
-  attend(e);
+  e->load_dirty = true;
+  activate(e);
 }
 
-void mt_engines_settle (mt_engines_t *engines) {
-  for (size_t i = engines->attended_count; i-- > 0;) {
-    const mt_engine_t *e = engines->attended[i];
-    if (e->untold || e->here.running > 0 || e->unreachable) continue;
-    disregard(engines, i);
+void mt_engines_prune_active (mt_engines_t *engines) {
+  for (size_t i = engines->active_count; i-- > 0;) {
+    const mt_engine_t *e = engines->active[i];
+    if (e->load_dirty || e->local.running > 0 || e->unreachable) continue;
+    deactivate(engines, i);
   }
 }
 
@@ -85,10 +85,10 @@
 
 void mt_engines_remove (mt_engines_t *engines, mt_engine_t *e) {
   mt_engine_t *last = engines->list[--engines->count];
-  engines->list[e->place] = last;
-  last->place = e->place;
-  for (size_t i = engines->attended_count; e->attended && i-- > 0;)
-    if (engines->attended[i] == e) disregard(engines, i);
+  engines->list[e->list_index] = last;
+  last->list_index = e->list_index;
+  for (size_t i = engines->active_count; e->active && i-- > 0;)
+    if (engines->active[i] == e) deactivate(engines, i);
   mtV_del(&engines->by_key, e->key);
   free_engine(e);
 }
@@ -96,85 +96,91 @@
 void mt_engines_free (mt_engines_t *engines) {
   for (size_t i = 0; i < engines->count; i++) free_engine(engines->list[i]);
   free(engines->list);
-  free(engines->attended);
+  free(engines->active);
   mtV_free(&engines->by_key);
 }
 
 void mt_engine_failed (mt_engine_t *e, mt_ms_t now) {
   e->failures++;
-  if (e->failures <= FREE_FAILURES) return;
-  int doublings = mt_min(e->failures - FREE_FAILURES - 1, 8);
-  e->hold = now + mt_min((mt_ms_t)HOLD_FIRST_MS << doublings, HOLD_MAX_MS);
+  if (e->failures <= FAILURES_TOLERATED) return;
+  int doublings = mt_min(e->failures - FAILURES_TOLERATED - 1, 8);
+  e->suspended_until =
+      now + mt_min((mt_ms_t)SUSPEND_FIRST_MS << doublings, SUSPEND_MAX_MS);
 }
 
-void mt_engine_worked (mt_engine_t *e, mt_ms_t now) {
+void mt_engine_succeeded (mt_engine_t *e, mt_ms_t now) {
   e->failures = 0;
-  e->hold = 0;
-  e->heard = now;
+  e->suspended_until = 0;
+  e->last_received = now;
 }
 
-void mt_engine_reached (mt_engine_t *e, bool up, mt_ms_t now) {
+void mt_engine_set_reachable (mt_engine_t *e, bool up, mt_ms_t now) {
   e->unreachable = !up;
-  if (!up) attend(e);
+  if (!up) activate(e);
   e->probing = false;
-  e->probe = now + PROBE_MS;
-  if (up) mt_engine_worked(e, now);
+  e->probe = now + PROBE_INTERVAL_MS;
+  if (up) mt_engine_succeeded(e, now);
 }
 
-bool mt_engine_drains (const mt_engine_t *e, mt_ms_t now) {
+bool mt_engine_is_draining (const mt_engine_t *e, mt_ms_t now) {
   if (e->drain.since == 0) return false;
-  if (e->drain.born != 0 && e->drain.born < e->born) return false;
-  return !e->drain.gossiped || now < e->drain.since + MT_ENGINE_GOSSIP_MS;
+  if (e->drain.started_at != 0 && e->drain.started_at < e->started_at)
+    return false;
+  return !e->drain.gossiped ||
+         now < e->drain.since + MT_ENGINE_DRAIN_GOSSIP_TTL_MS;
 }
 
-bool mt_engine_stays (const mt_engine_t *e, mt_ms_t now) {
-  return e->state == MT_ENGINE_READY && !mt_engine_drains(e, now);
+bool mt_engine_is_available (const mt_engine_t *e, mt_ms_t now) {
+  return e->state == MT_ENGINE_READY && !mt_engine_is_draining(e, now);
 }
 
-bool mt_engine_take_drain (mt_engine_t *e, const mt_engine_drain_t *drain,
-                           mt_ms_t now) {
-  bool known = mt_engine_drains(e, now);
-  if (drain->born != 0 && drain->born < e->born) return false;
+bool mt_engine_apply_drain (mt_engine_t *e, const mt_engine_drain_t *drain,
+                            mt_ms_t now) {
+  bool known = mt_engine_is_draining(e, now);
+  if (drain->started_at != 0 && drain->started_at < e->started_at)
+    return false;
   if (known && drain->gossiped && drain->since <= e->drain.since)
     return false;
   bool told = drain->gossiped && (!known || e->drain.gossiped);
   e->drain = *drain;
   e->drain.gossiped = told;
-  return !known && mt_engine_drains(e, now);
+  return !known && mt_engine_is_draining(e, now);
 }
 
-bool mt_engine_back_off (mt_engine_t *e, mt_ms_t backoff, mt_ms_t now) {
+bool mt_engine_set_backoff (mt_engine_t *e, mt_ms_t backoff, mt_ms_t now) {
   bool known = e->backoff > now;
   backoff = mt_min(backoff, (mt_ms_t)BACKOFF_MAX_MS);
   if (backoff == 0) return false;
-  backoff += mtV_mix(e->key, now) % (backoff / BACKOFF_SPREAD + 1);
+  backoff += mtV_mix(e->key, now) % (backoff / BACKOFF_JITTER_DIVISOR + 1);
   if (now + backoff <= e->backoff) return false;
   e->backoff = now + backoff;
-  e->resumed = 0;
+  e->half_open_since = 0;
   return !known;
 }
 
 mt_ms_t mt_engine_backoff_left (const mt_engine_t *e, mt_ms_t now) {
-  mt_ms_t over = e->resumed != 0 ? e->resumed + RESUME_MS : e->backoff;
+  mt_ms_t over = e->half_open_since != 0 ? e->half_open_since + HALF_OPEN_MS
+                                         : e->backoff;
   return over > now ? over - now : 0;
 }
 
 bool mt_engine_takes_work (const mt_engine_t *e, mt_ms_t now) {
-  return mt_engine_stays(e, now) && mt_engine_backoff_left(e, now) == 0;
+  return mt_engine_is_available(e, now) &&
+         mt_engine_backoff_left(e, now) == 0;
 }
 
-void mt_engine_sent (mt_engine_t *e, mt_ms_t now) {
+void mt_engine_request_sent (mt_engine_t *e, mt_ms_t now) {
   if (e->backoff == 0) return;
-  if (e->resumed == 0)
-    e->resumed = now;
+  if (e->half_open_since == 0)
+    e->half_open_since = now;
   else
-    e->backoff = e->resumed = 0;
+    e->backoff = e->half_open_since = 0;
 }
 
 double mt_engine_rejection_rate (const mt_engine_t *e, mt_ms_t now) {
   if (e->rate_at == 0) return 0;
   return e->rejection_rate *
-         exp(-(double)(now - e->rate_at) / REJECTION_FADE_MS);
+         exp(-(double)(now - e->rate_at) / REJECTION_DECAY_MS);
 }
 
 static void record_attempt (mt_engine_t *e, bool rejected, mt_ms_t now) {
@@ -183,30 +189,31 @@
   e->rate_at = now;
 }
 
-void mt_engine_took (mt_engine_t *e, mt_ms_t sent, mt_ms_t now) {
-  if (e->resumed != 0 && sent >= e->resumed) e->backoff = e->resumed = 0;
+void mt_engine_request_accepted (mt_engine_t *e, mt_ms_t sent, mt_ms_t now) {
+  if (e->half_open_since != 0 && sent >= e->half_open_since)
+    e->backoff = e->half_open_since = 0;
   record_attempt(e, false, now);
 }
 
-void mt_engine_rejected (mt_engine_t *e, mt_ms_t now) {
-  e->hold = mt_max(e->hold, now + REJECTION_HOLD_MS);
-  e->heard = now;
+void mt_engine_request_rejected (mt_engine_t *e, mt_ms_t now) {
+  e->suspended_until = mt_max(e->suspended_until, now + REJECTION_SUSPEND_MS);
+  e->last_received = now;
   record_attempt(e, true, now);
 }
 
 void mt_engine_restarted (mt_engine_t *e) {
-  mt_prefix_cache_free(&e->kept);
-  memset(&e->kept, 0, sizeof e->kept);
+  mt_prefix_cache_free(&e->cached);
+  memset(&e->cached, 0, sizeof e->cached);
   e->peers = (mt_engine_load_t){0};
   e->quoted = 0;
-  e->vanished = 0;
+  e->unlisted_since = 0;
   e->slowness = 1.0;
   e->failures = 0;
-  e->hold = 0;
+  e->suspended_until = 0;
   e->rejection_rate = 0;
   /* A backoff stays: the start answers before it is listed, so that it may be
      the one that asked for it. */
-  if (e->drain.born <= e->born) e->drain = (mt_engine_drain_t){0};
+  if (e->drain.started_at <= e->started_at) e->drain = (mt_engine_drain_t){0};
   e->unreachable = false;
-  e->heard = 0;
+  e->last_received = 0;
 }
--- a/src/relay/fair_share.c
+++ b/src/relay/fair_share.c
@@ -6,14 +6,14 @@
 
 #include "fair_share.h"
 
-#define FADE_MS 1000.0 /* time constant of the rates */
+#define DECAY_MS 1000.0 /* time constant of the rates */
 /* Served below this part of asked: some are short. */
-#define SHORT_PART 0.97
-#define ENOUGH_PART 0.9 /* served below this part of asked: wants more */
+#define SCARCITY_RATIO 0.97
+#define BACKLOG_RATIO 0.9 /* served below this part of asked: wants more */
 /* Served below this part of the level: its engines are not there, and what it
    lacks is no reason to refuse others. */
-#define SERVED_PART 0.03
-#define FORGET_RATE 0.01 /* tokens a second that count as none */
+#define REACHABLE_RATIO 0.03
+#define IDLE_RATE 0.01 /* tokens a second that count as none */
 
 void mt_fair_share_free (mt_fair_share_t *s) {
   for (size_t i = 0; i < s->count; i++) free(s->list[i]);
@@ -33,46 +33,46 @@
 
 mt_share_t *mt_fair_share_of_peer (mt_fair_share_t *s, mt_id_t workspace) {
   mt_share_t *known = mtV_get(&s->by_id, workspace);
-  if (known != NULL || s->count >= MT_FAIR_SHARE_MOST) return known;
+  if (known != NULL || s->count >= MT_FAIR_SHARE_WORKSPACES_MAX) return known;
   return mt_fair_share_get(s, workspace);
 }
 
-/* An amount as an addition to a rate that fades with FADE_MS. */
+/* An amount as an addition to a rate that fades with DECAY_MS. */
 static double as_rate (int64_t tokens) {
-  return (double)tokens * 1000.0 / FADE_MS;
+  return (double)tokens * 1000.0 / DECAY_MS;
 }
 
-void mt_fair_share_asked (mt_fair_share_t *s, mt_id_t workspace,
-                          int64_t tokens) {
-  mt_fair_share_get(s, workspace)->here.asked += as_rate(tokens);
+void mt_fair_share_record_demand (mt_fair_share_t *s, mt_id_t workspace,
+                                  int64_t tokens) {
+  mt_fair_share_get(s, workspace)->local.asked += as_rate(tokens);
 }
 
-void mt_fair_share_served (mt_fair_share_t *s, mt_id_t workspace,
-                           int64_t tokens) {
-  mt_fair_share_get(s, workspace)->here.served += as_rate(tokens);
+void mt_fair_share_record_served (mt_fair_share_t *s, mt_id_t workspace,
+                                  int64_t tokens) {
+  mt_fair_share_get(s, workspace)->local.served += as_rate(tokens);
 }
 
-static void fade (mt_fair_share_t *s, mt_ms_t now) {
-  double factor = exp(-(double)(now - s->faded) / FADE_MS);
-  s->faded = now;
+static void decay (mt_fair_share_t *s, mt_ms_t now) {
+  double factor = exp(-(double)(now - s->decayed_at) / DECAY_MS);
+  s->decayed_at = now;
   for (size_t i = 0; i < s->count; i++) {
-    s->list[i]->here.asked *= factor;
-    s->list[i]->here.served *= factor;
+    s->list[i]->local.asked *= factor;
+    s->list[i]->local.served *= factor;
   }
 }
 
 static double asked (const mt_share_t *w) {
-  return w->here.asked + w->peers.asked;
+  return w->local.asked + w->peers.asked;
 }
 
 static double served (const mt_share_t *w) {
-  return w->here.served + w->peers.served;
+  return w->local.served + w->peers.served;
 }
 
 static void forget_idle (mt_fair_share_t *s) {
   for (size_t i = s->count; i-- > 0;) {
     mt_share_t *w = s->list[i];
-    if (asked(w) > FORGET_RATE || served(w) > FORGET_RATE) continue;
+    if (asked(w) > IDLE_RATE || served(w) > IDLE_RATE) continue;
     s->list[i] = s->list[--s->count];
     mtV_del(&s->by_id, w->workspace);
     free(w);
@@ -89,8 +89,7 @@
 static double water_level (mt_fair_share_t *s, double capacity) {
   qsort(s->list, s->count, sizeof *s->list, by_asked);
   size_t left = 0;
-  for (size_t i = 0; i < s->count; i++)
-    left += asked(s->list[i]) > FORGET_RATE;
+  for (size_t i = 0; i < s->count; i++) left += asked(s->list[i]) > IDLE_RATE;
   for (size_t i = s->count - left; i < s->count; i++, left--) {
     double even = capacity / (double)left;
     if (asked(s->list[i]) > even) return even;
@@ -100,46 +99,47 @@
 }
 
 /* Who got most of those that ask for more than the level. */
-static void find_top (mt_fair_share_t *s) {
-  s->top = 1;
+static void find_max_service_ratio (mt_fair_share_t *s) {
+  s->max_service_ratio = 1;
   if (s->level <= 0) return;
   for (size_t i = 0; i < s->count; i++) {
     if (asked(s->list[i]) <= s->level) continue;
-    double standing = served(s->list[i]) / s->level;
-    s->top = fmax(s->top, standing);
+    double service_ratio = served(s->list[i]) / s->level;
+    s->max_service_ratio = fmax(s->max_service_ratio, service_ratio);
   }
 }
 
 static bool is_backlogged (const mt_fair_share_t *s, const mt_share_t *w) {
-  return asked(w) > s->level && served(w) < ENOUGH_PART * asked(w) &&
-         served(w) > SERVED_PART * s->level;
+  return asked(w) > s->level && served(w) < BACKLOG_RATIO * asked(w) &&
+         served(w) > REACHABLE_RATIO * s->level;
 }
 
-static void find_bottom (mt_fair_share_t *s, double declared) {
-  s->bottom = 0;
+static void find_min_service_ratio (mt_fair_share_t *s, double declared) {
+  s->min_service_ratio = 0;
   if (s->level <= 0 || declared <= 0) return;
   for (size_t i = 0; i < s->count; i++) {
     if (!is_backlogged(s, s->list[i])) continue;
-    double standing = served(s->list[i]) / s->level;
-    if (s->bottom <= 0 || standing < s->bottom) s->bottom = standing;
+    double service_ratio = served(s->list[i]) / s->level;
+    if (s->min_service_ratio <= 0 || service_ratio < s->min_service_ratio)
+      s->min_service_ratio = service_ratio;
   }
 }
 
 void mt_fair_share_update (mt_fair_share_t *s, double declared, mt_ms_t now) {
   double all_asked = 0, all_served = 0;
-  fade(s, now);
+  decay(s, now);
   forget_idle(s);
   for (size_t i = 0; i < s->count; i++) {
     all_asked += asked(s->list[i]);
     all_served += served(s->list[i]);
   }
-  bool scarce = all_served < SHORT_PART * all_asked;
+  bool scarce = all_served < SCARCITY_RATIO * all_asked;
   s->level = scarce ? water_level(s, fmax(all_served, declared)) : 0;
-  find_top(s);
-  find_bottom(s, declared);
+  find_max_service_ratio(s);
+  find_min_service_ratio(s, declared);
 }
 
-double mt_fair_share_standing (mt_fair_share_t *s, mt_id_t workspace) {
+double mt_fair_share_service_ratio (mt_fair_share_t *s, mt_id_t workspace) {
   if (s->level <= 0) return 0;
   return served(mt_fair_share_get(s, workspace)) / s->level;
 }
--- a/src/relay/fair_share.h
+++ b/src/relay/fair_share.h
@@ -11,7 +11,8 @@
 
 #include "mtmem.h"
 
-#define MT_FAIR_SHARE_MOST 8192 /* workspaces that other routers may name */
+#define MT_FAIR_SHARE_WORKSPACES_MAX \
+  8192 /* workspaces that other routers may name */
 
 /* Rates of one workspace, in tokens a second. */
 typedef struct mt_share_rates_t {
@@ -20,35 +21,36 @@
 
 typedef struct mt_share_t {
   mt_id_t workspace;
-  mt_share_rates_t here, peers;
+  mt_share_rates_t local, peers;
 } mt_share_t;
 
 typedef struct mt_fair_share_t {
   mt_map_t by_id;
   mt_share_t **list;
   size_t count, cap;
-  mt_ms_t faded; /* when rates were last made to fade */
-  double level;  /* a backlogged workspace's share; 0: nobody is short */
-  double top; /* standing of the backlogged one that got most, at least 1 */
+  mt_ms_t decayed_at; /* when rates were last made to fade */
+  double level;       /* a backlogged workspace's share; 0: nobody is short */
+  double max_service_ratio; /* standing of the backlogged one that got most,
+                               at least 1 */
   /* Standing of the one that got least of the backlogged ones that can be
      served. 0 where there is none, and where it is not declared what the
      engines give: then a level goes by what was served, and would fall with
      what is refused. */
-  double bottom;
+  double min_service_ratio;
 } mt_fair_share_t;
 
 void mt_fair_share_free (mt_fair_share_t *shares);
 mt_share_t *mt_fair_share_get (mt_fair_share_t *shares, mt_id_t workspace);
 
 /* The same for one that another router names, which may be forged. NULL for
-   a new one where MT_FAIR_SHARE_MOST are known. */
+   a new one where MT_FAIR_SHARE_WORKSPACES_MAX are known. */
 mt_share_t *mt_fair_share_of_peer (mt_fair_share_t *shares,
                                    mt_id_t workspace);
 
-void mt_fair_share_asked (mt_fair_share_t *shares, mt_id_t workspace,
-                          int64_t tokens);
-void mt_fair_share_served (mt_fair_share_t *shares, mt_id_t workspace,
-                           int64_t tokens);
+void mt_fair_share_record_demand (mt_fair_share_t *shares, mt_id_t workspace,
+                                  int64_t tokens);
+void mt_fair_share_record_served (mt_fair_share_t *shares, mt_id_t workspace,
+                                  int64_t tokens);
 
 /*
 ** Lets rates fade up to now, forgets workspaces without any, and works out
@@ -63,6 +65,7 @@
 ** What the workspace got, as a multiple of the level; below 1 it is owed
 ** more. Always 0 while nobody is short.
 */
-double mt_fair_share_standing (mt_fair_share_t *shares, mt_id_t workspace);
+double mt_fair_share_service_ratio (mt_fair_share_t *shares,
+                                    mt_id_t workspace);
 
 #endif
--- a/src/relay/lease_table.c
+++ b/src/relay/lease_table.c
@@ -5,7 +5,7 @@
 
 #include "lease_table.h"
 
-#define LEASES_MOST 4096
+#define LEASES_MAX 4096
 
 typedef struct lease_t {
   uint64_t holder;
@@ -23,7 +23,7 @@
   if (lease != NULL && lease->holder != holder && now < lease->until)
     return false;
   if (lease == NULL) {
-    if (name == 0 || t->by_name.used >= LEASES_MOST) return false;
+    if (name == 0 || t->by_name.used >= LEASES_MAX) return false;
     lease = mtV_new(sizeof *lease);
     mtV_put(&t->by_name, name, lease);
   }
--- a/src/relay/load_book.c
+++ b/src/relay/load_book.c
@@ -9,8 +9,8 @@
 #define ENGINES_MAX 16384 /* datagrams come from anybody, and name any */
 
 /* The row of a router at an engine, made if it is new; NULL: too many. */
-static mt_load_row_t *row_of (mt_load_book_t *book, uint64_t engine,
-                              uint64_t router, bool *is_new) {
+static mt_load_row_t *find_or_add_row (mt_load_table_t *book, uint64_t engine,
+                                       uint64_t router, bool *is_new) {
   mt_load_row_t *first = mtV_get(&book->engines, engine);
   size_t count = 0;
   *is_new = false;
@@ -25,26 +25,26 @@
   return row;
 }
 
-int64_t mt_load_book_take (mt_load_book_t *book, uint64_t engine,
+int64_t mt_load_table_set (mt_load_table_t *book, uint64_t engine,
                            const mt_load_row_t *told) {
   bool is_new;
-  mt_load_row_t *row = row_of(book, engine, told->router, &is_new);
+  mt_load_row_t *row = find_or_add_row(book, engine, told->router, &is_new);
   if (row == NULL) return 0;
-  int64_t since = is_new ? 0 : told->read - row->read;
+  int64_t since = is_new ? 0 : told->tokens_processed - row->tokens_processed;
   mt_load_row_t *next = row->next;
   *row = *told;
   row->next = next;
   return mt_max(since, 0);
 }
 
-mt_engine_load_t mt_load_book_sum (const mt_load_book_t *book,
-                                   uint64_t engine, uint64_t but_router,
-                                   mt_ms_t now) {
+mt_engine_load_t mt_load_table_sum (const mt_load_table_t *book,
+                                    uint64_t engine, uint64_t but_router,
+                                    mt_ms_t now) {
   mt_engine_load_t sum = {0};
   const mt_load_row_t *row = mtV_get(&book->engines, engine);
   for (; row != NULL; row = row->next) {
     if (row->router == but_router || row->valid_until <= now) continue;
-    sum.unread += row->load.unread;
+    sum.pending_prefill += row->load.pending_prefill;
     sum.held += row->load.held;
     sum.running += row->load.running;
   }
@@ -52,7 +52,7 @@
 }
 
 /* Takes the invalid rows out of a list; returns its new first row. */
-static mt_load_row_t *keep_valid (mt_load_row_t *row, mt_ms_t now) {
+static mt_load_row_t *remove_expired (mt_load_row_t *row, mt_ms_t now) {
   mt_load_row_t *kept = NULL;
   while (row != NULL) {
     mt_load_row_t *next = row->next;
@@ -67,21 +67,22 @@
   return kept;
 }
 
-void mt_load_book_forget (mt_load_book_t *book, uint64_t engine) {
-  keep_valid(mtV_del(&book->engines, engine), UINT64_MAX);
+void mt_load_table_remove (mt_load_table_t *book, uint64_t engine) {
+  remove_expired(mtV_del(&book->engines, engine), UINT64_MAX);
 }
 
-void mt_load_book_expire (mt_load_book_t *book, mt_ms_t now) {
+void mt_load_table_expire (mt_load_table_t *book, mt_ms_t now) {
   for (size_t i = book->engines.cap; i-- > 0;) {
     uint64_t engine = book->engines.keys[i];
     if (engine == 0) continue;
-    mt_load_row_t *kept = keep_valid(book->engines.vals[i], now);
+    mt_load_row_t *kept = remove_expired(book->engines.vals[i], now);
     book->engines.vals[i] = kept;
     if (kept == NULL) mtV_del(&book->engines, engine);
   }
 }
 
-void mt_load_book_free (mt_load_book_t *book) {
-  mtV_each (&book->engines, i) keep_valid(book->engines.vals[i], UINT64_MAX);
+void mt_load_table_free (mt_load_table_t *book) {
+  mtV_each (&book->engines, i)
+    remove_expired(book->engines.vals[i], UINT64_MAX);
   mtV_free(&book->engines);
 }
--- a/src/relay/placement.c
+++ b/src/relay/placement.c
@@ -26,17 +26,17 @@
 #define FULL_MS 2000
 
 static int running (const mt_engine_t *e) {
-  return e->here.running + e->peers.running;
+  return e->local.running + e->peers.running;
 }
 
-static int64_t unread (const mt_engine_t *e) {
-  return e->here.unread + e->peers.unread;
+static int64_t pending_prefill (const mt_engine_t *e) {
+  return e->local.pending_prefill + e->peers.pending_prefill;
 }
 
 /* What the request's workspace got, as a multiple of its share. */
 static double standing_of (mt_relay_t *relay, const mt_relay_request_t *r) {
   if (r->workspace == 0) return 0;
-  return mt_fair_share_standing(&relay->shares, r->workspace);
+  return mt_fair_share_service_ratio(&relay->shares, r->workspace);
 }
 
 /*
@@ -45,9 +45,9 @@
 ** had its share stays, since reading parts elsewhere makes all work late.
 */
 static double ease_of (mt_relay_t *relay, const mt_relay_request_t *r) {
-  double top = fmax(relay->shares.top, 1);
+  double max_service_ratio = fmax(relay->shares.max_service_ratio, 1);
   if (relay->terms.off[MT_RELAY_OWED]) return 0;
-  return fmin(fmax(1 - standing_of(relay, r) / top, 0), 1);
+  return fmin(fmax(1 - standing_of(relay, r) / max_service_ratio, 0), 1);
 }
 
 /*
@@ -85,7 +85,7 @@
   const mt_relay_t *relay;
   const mt_relay_request_t *request;
   const mt_catalog_service_t *service; /* of a model, or NULL */
-  mt_read_line_t line;
+  mt_prefill_model_t line;
   mt_engine_t *source; /* keeps `there` tokens of the prompt, or NULL */
   int64_t there;
   int64_t unshared; /* tokens of the prompt that only it has */
@@ -97,12 +97,12 @@
 
 static costs_t begin_costs (mt_relay_t *relay, const mt_relay_request_t *r) {
   const mt_catalog_service_t *service =
-      mt_catalog_service(relay->catalog, r->service);
+      mt_catalog_find_service(relay->catalog, r->service);
   costs_t c = {.relay = relay, .request = r};
   if (service == NULL || !service->model) return c;
   c.service = service;
   c.line = mt_relay_read_line(relay, r->service);
-  c.unshared = mt_max(r->tokens_in - mt_prompt_memory_shared(r), 1);
+  c.unshared = mt_max(r->tokens_in - mt_kv_cache_shared_tokens(r), 1);
   c.limit = wait_limit(relay, r, service);
   c.far_limit = c.limit * far_part(relay, r);
   c.ease = ease_of(relay, r);
@@ -117,7 +117,7 @@
 ** share leaves only for engines that are all but idle.
 */
 static double limit_at (const costs_t *c, const mt_engine_t *e) {
-  return e->far && c->request->rounds > 1 ? c->far_limit : c->limit;
+  return e->remote && c->request->rounds > 1 ? c->far_limit : c->limit;
 }
 
 /*
@@ -129,29 +129,29 @@
                           mt_placement_t *p) {
   const mt_relay_request_t *r = c->request;
   const mt_relay_terms_t *terms = &c->relay->terms;
-  int64_t memory = c->service->memory;
-  int64_t kept = mt_prompt_memory_kept(r, e, memory);
-  mt_fetch_t fetch = mt_prompt_memory_fetch(c->service, c->source, c->there,
-                                            e, kept, c->line.ms_per_token);
-  int64_t miss = mt_max(r->tokens_in - kept - fetch.tokens, 1);
+  int64_t kv_capacity = c->service->kv_capacity;
+  int64_t cached = mt_kv_cache_cached_tokens(r, e, kv_capacity);
+  mt_kv_fetch_t fetch = mt_kv_cache_plan_fetch(
+      c->service, c->source, c->there, e, cached, c->line.ms_per_token);
+  int64_t miss = mt_max(r->tokens_in - cached - fetch.tokens, 1);
   bool gathers = e->key == r->home_of_all || e->key == r->home_near;
   int64_t weighed = gathers ? mt_min(miss, c->unshared) : miss;
   double per_token = c->line.ms_per_token * e->slowness;
-  double wait = (double)unread(e) * per_token;
+  double wait = (double)pending_prefill(e) * per_token;
   double read = (double)miss * per_token;
   bool full = running(e) >= e->slots;
-  int64_t held = e->here.held + e->peers.held + miss;
+  int64_t held = e->local.held + e->peers.held + miss;
   double cost = wait + (double)weighed * per_token * c->reading;
   cost += fetch.ms * terms->move_weight * c->reading;
   if (wait > limit_at(c, e))
     cost += (r->rounds > 1 ? 1 : c->ease) * OVER_LIMIT_MS;
   cost += running(e) * RUNNING_MS;
   if (full) cost += FULL_PENALTY_MS;
-  if (memory > 0 && held > memory) cost += MEMORY_PENALTY_MS;
+  if (kv_capacity > 0 && held > kv_capacity) cost += MEMORY_PENALTY_MS;
   cost += e->failures * FAILING_PENALTY_MS;
   /* An engine that rejects its work is idle, and would attract all of it. */
   cost += mt_engine_rejection_rate(e, c->relay->now) * REJECTION_PENALTY_MS;
-  if (e->far) cost += terms->cross_ms;
+  if (e->remote) cost += terms->cross_ms;
   *p = (mt_placement_t){.engine = e,
                         .miss = miss,
                         .wait_ms = wait,
@@ -167,7 +167,8 @@
                           mt_placement_t *p) {
   double slots = mt_max(e->slots, 1);
   *p = (mt_placement_t){.engine = e, .full = running(e) >= e->slots};
-  return (running(e) + 1) / slots + (e->far ? 0.5 / slots : 0) + e->failures;
+  return (running(e) + 1) / slots + (e->remote ? 0.5 / slots : 0) +
+         e->failures;
 }
 
 /* What an engine may end under goes where the least runs that would end with
@@ -200,7 +201,7 @@
                                     const mt_relay_request_t *r) {
   costs_t c = begin_costs(relay, r);
   if (c.service != NULL)
-    c.source = mt_prompt_memory_source(relay, r, c.service, &c.there);
+    c.source = mt_kv_cache_find_source(relay, r, c.service, &c.there);
   for (size_t i = 0; i < r->candidates_count; i++) {
     const mt_relay_candidate_t *told = &r->candidates[i];
     mt_engine_t *e = mt_engines_get(&relay->engines, told->engine);
@@ -220,7 +221,7 @@
   if (load->told == 0 || relay->now - load->told > FULL_MS) return true;
   costs_t c = begin_costs(relay, r);
   if (c.service == NULL) return true;
-  return load->unread * c.line.ms_per_token <= c.far_limit;
+  return load->pending_prefill * c.line.ms_per_token <= c.far_limit;
 }
 
 mt_engine_t *mt_placement_best_of (mt_relay_t *relay,
@@ -238,19 +239,19 @@
 ** and at most routers, however much it had, where little is left for all.
 */
 static bool got_far_more (mt_relay_t *relay, const mt_relay_request_t *r) {
-  double bottom = relay->shares.bottom;
-  double most = fmax(OVER_LEVEL, OVER_BOTTOM * bottom);
-  return bottom > 0 && standing_of(relay, r) > most;
+  double min_service_ratio = relay->shares.min_service_ratio;
+  double most = fmax(OVER_LEVEL, OVER_BOTTOM * min_service_ratio);
+  return min_service_ratio > 0 && standing_of(relay, r) > most;
 }
 
 bool mt_placement_admits (mt_relay_t *relay, const mt_relay_request_t *r,
                           const mt_placement_t *p, mt_relay_refusal_t *why) {
   const mt_catalog_service_t *service =
-      mt_catalog_service(relay->catalog, r->service);
+      mt_catalog_find_service(relay->catalog, r->service);
   *why = standing_of(relay, r) > 1 ? MT_RELAY_OVER_SHARE : MT_RELAY_BUSY;
   if (service == NULL || !service->model) return true; /* it sheds itself */
   if (p->full || got_far_more(relay, r)) return false;
   double limit = wait_limit(relay, r, service);
-  if (p->engine->far && r->rounds > 1) limit *= far_part(relay, r);
+  if (p->engine->remote && r->rounds > 1) limit *= far_part(relay, r);
   return limit <= 0 || p->wait_ms <= limit;
 }
--- a/src/relay/placement.h
+++ b/src/relay/placement.h
@@ -14,7 +14,7 @@
   double first_ms;     /* expected until its first event */
   bool full;           /* all its slots are taken */
   bool home;           /* every router expects the parts there */
-  mt_fetch_t fetch;    /* of parts that the engine does not keep */
+  mt_kv_fetch_t fetch; /* of parts that the engine does not keep */
 } mt_placement_t;
 
 /*
--- a/src/relay/prefix_cache.c
+++ b/src/relay/prefix_cache.c
@@ -7,8 +7,8 @@
 
 typedef struct mt_prefix_entry_t {
   struct mt_prefix_entry_t *newer, *older;
-  mt_prefix_part_t part;
-  int64_t used; /* the cache's clock then */
+  mt_prefix_segment_t segment;
+  int64_t used_at; /* the cache's clock then */
 } mt_prefix_entry_t;
 
 static void detach (mt_prefix_cache_t *c, mt_prefix_entry_t *e) {
@@ -35,7 +35,7 @@
 static void drop_oldest (mt_prefix_cache_t *c) {
   mt_prefix_entry_t *e = c->oldest;
   detach(c, e);
-  mtV_del(&c->entries, e->part.id);
+  mtV_del(&c->entries, e->segment.id);
   free(e);
 }
 
@@ -45,19 +45,20 @@
 }
 
 int64_t mt_prefix_cache_match (const mt_prefix_cache_t *c,
-                               const mt_prefix_part_t *parts, size_t count,
+                               const mt_prefix_segment_t *parts, size_t count,
                                int64_t capacity) {
   int64_t tokens = 0;
   for (size_t i = 0; i < count; i++) {
     const mt_prefix_entry_t *e = mtV_get(&c->entries, parts[i].id);
-    if (e == NULL || c->clock - e->used > capacity) break;
+    if (e == NULL || c->clock - e->used_at > capacity) break;
     tokens += parts[i].tokens;
   }
   return tokens;
 }
 
-void mt_prefix_cache_use (mt_prefix_cache_t *c, const mt_prefix_part_t *parts,
-                          size_t count, int64_t capacity) {
+void mt_prefix_cache_use (mt_prefix_cache_t *c,
+                          const mt_prefix_segment_t *parts, size_t count,
+                          int64_t capacity) {
   /* The first part last: a part is of no use without those before it. */
   for (size_t i = count; i-- > 0;) {
     mt_prefix_entry_t *e = mtV_get(&c->entries, parts[i].id);
@@ -65,12 +66,12 @@
       detach(c, e);
     } else {
       e = mtV_new(sizeof *e);
-      e->part = parts[i];
-      mtV_put(&c->entries, e->part.id, e);
+      e->segment = parts[i];
+      mtV_put(&c->entries, e->segment.id, e);
     }
-    e->used = c->clock;
+    e->used_at = c->clock;
     attach(c, e);
   }
-  while (c->oldest != NULL && c->clock - c->oldest->used > capacity)
+  while (c->oldest != NULL && c->clock - c->oldest->used_at > capacity)
     drop_oldest(c);
 }
--- a/src/relay/prefix_cache.h
+++ b/src/relay/prefix_cache.h
@@ -10,10 +10,10 @@
 
 #include "mtmem.h"
 
-typedef struct mt_prefix_part_t {
+typedef struct mt_prefix_segment_t {
   uint64_t id; /* never 0 */
   int64_t tokens;
-} mt_prefix_part_t;
+} mt_prefix_segment_t;
 
 typedef struct mt_prefix_cache_t {
   mt_map_t entries; /* part -> entry, owned */
@@ -28,12 +28,12 @@
 ** room for `capacity` tokens beside what is running.
 */
 int64_t mt_prefix_cache_match (const mt_prefix_cache_t *cache,
-                               const mt_prefix_part_t *parts, size_t count,
+                               const mt_prefix_segment_t *parts, size_t count,
                                int64_t capacity);
 
 /* The engine uses these parts; forgets what was used too long ago. */
 void mt_prefix_cache_use (mt_prefix_cache_t *cache,
-                          const mt_prefix_part_t *parts, size_t count,
+                          const mt_prefix_segment_t *parts, size_t count,
                           int64_t capacity);
 
 #endif
--- a/src/relay/quotes.c
+++ b/src/relay/quotes.c
@@ -55,8 +55,10 @@
 static void learn_usual (mt_relay_t *relay, const mt_relay_request_t *r,
                          const mt_engine_load_t *load) {
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
-  double unread = (double)load->unread, running = load->running;
-  s->usual_unread = s->usual_unread * USUAL_FADE + unread * (1 - USUAL_FADE);
+  double pending_prefill = (double)load->pending_prefill,
+         running = load->running;
+  s->usual_unread =
+      s->usual_unread * USUAL_FADE + pending_prefill * (1 - USUAL_FADE);
   s->usual_running =
       s->usual_running * USUAL_FADE + running * (1 - USUAL_FADE);
 }
@@ -69,7 +71,7 @@
     if (e != NULL) {
       e->peers = quote->peers;
       e->quoted = relay->now;
-      if (e->far) mt_domain_loads_learn(relay, e, &quote->peers);
+      if (e->remote) mt_domain_loads_learn(relay, e, &quote->peers);
       if (quote->admission == MT_ADMIT_WARM)
         mt_cold_starts_note(&relay->cold, e->key, relay->now, relay->now);
     }
@@ -77,7 +79,7 @@
       mt_relay_candidate_t *candidate = &r->candidates[k];
       if (candidate->engine != quote->engine) continue;
       candidate->quoted = true;
-      candidate->kept = quote->kept;
+      candidate->cached = quote->cached;
       candidate->holder = quote->holder;
       candidate->admission = quote->admission;
       relay->counters.admissions[quote->admission]++;
@@ -99,9 +101,10 @@
     mt_engine_t *e = relay->engines.list[i];
     if (e->quoted == 0 || relay->now - e->quoted < FRESH_MS) continue;
     const mt_relay_service_t *s = mt_relay_service(relay, e->service);
-    double unread = (double)e->peers.unread;
+    double pending_prefill = (double)e->peers.pending_prefill;
     double running = e->peers.running;
-    e->peers.unread += (int64_t)((s->usual_unread - unread) * FADE_PART);
+    e->peers.pending_prefill +=
+        (int64_t)((s->usual_unread - pending_prefill) * FADE_PART);
     e->peers.running += (int32_t)((s->usual_running - running) * FADE_PART);
   }
 }
--- a/src/relay/read_time.c
+++ b/src/relay/read_time.c
@@ -3,22 +3,23 @@
 */
 #include "read_time.h"
 
-#define FADE 0.99 /* per request: some hundred are remembered */
+#define DECAY 0.99 /* per request: some hundred are remembered */
 /* The declared rate counts as two requests: one of no tokens that took no
    time, and one that took this long. */
 #define PRIOR_MS 100.0
 #define PRIOR_COUNT 1.0
-#define FASTEST 16.0 /* times the declared rate; a flat line is no rate */
+#define SPEEDUP_MAX 16.0 /* times the declared rate; a flat line is no rate \
+                          */
 
-void mt_read_time_learn (mt_read_time_t *t, double tokens, double ms) {
-  t->count = t->count * FADE + 1;
-  t->tokens = t->tokens * FADE + tokens;
-  t->ms = t->ms * FADE + ms;
-  t->tokens_tokens = t->tokens_tokens * FADE + tokens * tokens;
-  t->tokens_ms = t->tokens_ms * FADE + tokens * ms;
+void mt_prefill_time_add (mt_prefill_time_t *t, double tokens, double ms) {
+  t->count = t->count * DECAY + 1;
+  t->tokens = t->tokens * DECAY + tokens;
+  t->ms = t->ms * DECAY + ms;
+  t->tokens_tokens = t->tokens_tokens * DECAY + tokens * tokens;
+  t->tokens_ms = t->tokens_ms * DECAY + tokens * ms;
 }
 
-static void add_prior (mt_read_time_t *t, double declared) {
+static void add_prior (mt_prefill_time_t *t, double declared) {
   double tokens = declared * PRIOR_MS;
   t->count += 2 * PRIOR_COUNT;
   t->tokens += PRIOR_COUNT * tokens;
@@ -27,11 +28,11 @@
   t->tokens_ms += PRIOR_COUNT * tokens * PRIOR_MS;
 }
 
-mt_read_line_t mt_read_time_line (const mt_read_time_t *seen,
-                                  double declared) {
-  mt_read_time_t t = *seen;
-  mt_read_line_t line = {0, 0};
-  double least = 1 / (declared * FASTEST);
+mt_prefill_model_t mt_prefill_time_fit (const mt_prefill_time_t *seen,
+                                        double declared) {
+  mt_prefill_time_t t = *seen;
+  mt_prefill_model_t line = {0, 0};
+  double least = 1 / (declared * SPEEDUP_MAX);
   add_prior(&t, declared);
   /* Never 0: the two requests of the prior differ in their tokens. */
   double spread = t.count * t.tokens_tokens - t.tokens * t.tokens;
@@ -44,9 +45,9 @@
   return line;
 }
 
-mt_read_line_t mt_read_time_ratio (const mt_read_time_t *seen,
-                                   double declared) {
-  mt_read_time_t t = *seen;
+mt_prefill_model_t mt_prefill_time_fit_ratio (const mt_prefill_time_t *seen,
+                                              double declared) {
+  mt_prefill_time_t t = *seen;
   add_prior(&t, declared);
-  return (mt_read_line_t){0, t.ms / t.tokens};
+  return (mt_prefill_model_t){0, t.ms / t.tokens};
 }
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -93,7 +93,8 @@
     mt_request_refuse(relay, r, MT_RELAY_NO_CATALOG);
     return false;
   }
-  const mt_catalog_route_t *route = mt_catalog_route(c, ask->host, ask->path);
+  const mt_catalog_route_t *route =
+      mt_catalog_find_route(c, ask->host, ask->path);
   if (route == NULL) {
     mt_request_refuse(relay, r,
                       relay->unsure ? MT_RELAY_UNSURE : MT_RELAY_NO_ROUTE);
@@ -106,7 +107,7 @@
   }
   if (c->workspaces_count == 0 || (route->open && ask->key.n == 0))
     return true;
-  const mt_catalog_workspace_t *w = mt_catalog_key(c, ask->key);
+  const mt_catalog_workspace_t *w = mt_catalog_find_workspace(c, ask->key);
   if (w != NULL) {
     r->workspace = w->id;
     return true;
@@ -144,7 +145,7 @@
 */
 static bool leaves_for_better (const mt_relay_request_t *r,
                                const mt_placement_t *p) {
-  if (r->parts_count > 0 || p->engine->far) return false;
+  if (r->parts_count > 0 || p->engine->remote) return false;
   return p->full || p->engine->failures > 0;
 }
 
@@ -179,7 +180,7 @@
 
 /* What engines ended under is refused, or runs one copy at a time. */
 static void pass_gate (mt_relay_t *relay, mt_relay_request_t *r) {
-  switch (mt_quarantine_gate(relay, r)) {
+  switch (mt_quarantine_check(relay, r)) {
     case MT_QUARANTINE_PASS: seek(relay, r); break;
     case MT_QUARANTINE_ASK: r->phase = MT_RELAY_TRYING; break;
     case MT_QUARANTINE_BUSY:
@@ -212,9 +213,9 @@
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
   mt_retry_budget_request(&s->budget, &relay->terms.retry, relay->now);
   if (r->workspace != 0 && r->parts_count > 0)
-    mt_fair_share_asked(&relay->shares, r->workspace, r->cost);
+    mt_fair_share_record_demand(&relay->shares, r->workspace, r->cost);
   if (r->workspace != 0)
-    r->standing = mt_fair_share_standing(&relay->shares, r->workspace);
+    r->standing = mt_fair_share_service_ratio(&relay->shares, r->workspace);
   pass_gate(relay, r);
 }
 
@@ -230,9 +231,10 @@
 
 /* Owners answer to a suspect. */
 static void on_tried (mt_relay_t *relay, mt_relay_request_t *r,
-                      const mt_suspect_word_t *word, mt_trial_t verdict) {
+                      const mt_suspect_message_t *word,
+                      mt_trial_verdict_t verdict) {
   relay->counters.trials[verdict]++;
-  switch (mt_quarantine_tried(relay, r, word, verdict)) {
+  switch (mt_quarantine_on_verdict(relay, r, word, verdict)) {
     case MT_QUARANTINE_PASS:
       r->phase = MT_RELAY_SENT;
       if (r->on_trial)
@@ -286,9 +288,9 @@
     if (i < relay->count && relay->list[i]->engine == e)
       lose_run(relay, relay->list[i]);
   mt_quarantine_engine_ended(relay, key);
-  mt_quarantine_tell(relay);
-  mt_load_book_forget(&relay->book, key);
-  mt_part_holders_forget(&relay->holders, key);
+  mt_quarantine_send_reports(relay);
+  mt_load_table_remove(&relay->book, key);
+  mt_prefix_holders_remove_engine(&relay->holders, key);
   mt_engine_restarted(e);
 }
 
@@ -313,19 +315,19 @@
   const mt_engine_notice_t *says = &ev->u.notice.says;
   if (e == NULL) {
     if (says->draining && ev->u.notice.drain.gossiped)
-      mt_early_drains_note(&relay->early_drains, ev->u.notice.engine,
-                           &ev->u.notice.drain);
+      mt_early_drains_add(&relay->early_drains, ev->u.notice.engine,
+                          &ev->u.notice.drain);
     return;
   }
   if (says->draining &&
-      mt_engine_take_drain(e, &ev->u.notice.drain, relay->now)) {
+      mt_engine_apply_drain(e, &ev->u.notice.drain, relay->now)) {
     uint64_t *counter = ev->u.notice.drain.gossiped
                             ? &relay->counters.drains_heard
                             : &relay->counters.drains;
     (*counter)++;
     withdraw_unsent(relay, e);
   }
-  if (mt_engine_back_off(e, says->backoff, relay->now)) {
+  if (mt_engine_set_backoff(e, says->backoff, relay->now)) {
     relay->counters.backoffs++;
     withdraw_unsent(relay, e);
   }
@@ -348,7 +350,7 @@
     place(relay, r);
     return;
   }
-  if (r->phase == MT_RELAY_TRYING && mt_quarantine_overdue(relay, r)) {
+  if (r->phase == MT_RELAY_TRYING && mt_quarantine_timed_out(relay, r)) {
     mt_request_refuse(relay, r, MT_RELAY_ON_PROBATION);
     return;
   }
@@ -375,11 +377,11 @@
   mt_engine_t *e = mt_engines_get(&relay->engines, key);
   if (e == NULL) return;
   if (refused) mt_quarantine_engine_ended(relay, key);
-  mt_quarantine_tell(relay);
+  mt_quarantine_send_reports(relay);
   if (up && !e->unreachable)
     e->probing = false;
   else
-    mt_engine_reached(e, up, relay->now);
+    mt_engine_set_reachable(e, up, relay->now);
 }
 
 static void on_tick (mt_relay_t *relay) {
@@ -392,8 +394,8 @@
   relay->next_update = relay->now + UPDATE_MS;
   mt_fair_share_update(&relay->shares, declared_tokens(relay), relay->now);
   mt_relay_update_engines(relay);
-  mt_load_book_expire(&relay->book, relay->now);
-  mt_part_holders_expire(&relay->holders, relay->now);
+  mt_load_table_expire(&relay->book, relay->now);
+  mt_prefix_holders_expire(&relay->holders, relay->now);
   mt_cold_starts_expire(&relay->cold, relay->now);
 }
 
@@ -438,7 +440,7 @@
       if (r != NULL && r->phase == MT_RELAY_TRYING)
         on_tried(relay, r, ev->u.tried.word, ev->u.tried.verdict);
       else if (ev->u.tried.verdict == MT_TRIAL_GRANTED)
-        mt_quarantine_too_late(relay, ev->u.tried.word);
+        mt_quarantine_return_lease(relay, ev->u.tried.word);
       break;
     case MT_RELAY_RESTARTED: on_restarted(relay, ev->u.restarted); break;
     case MT_RELAY_NOTICE: on_notice(relay, ev); break;
@@ -463,7 +465,7 @@
   bool serves_on = now - since < relay->terms.vanish_ms;
   mt_quarantine_engine_ended(relay, e->key);
   if (e->state == MT_ENGINE_READY && serves_on)
-    e->vanished = e->vanished ? e->vanished : since;
+    e->unlisted_since = e->unlisted_since ? e->unlisted_since : since;
   else
     mt_relay_engine_gone(relay, e);
 }
@@ -495,8 +497,8 @@
   mtV_free(&relay->requests);
   mtV_each (&relay->services, i) free(relay->services.vals[i]);
   mtV_free(&relay->services);
-  mt_load_book_free(&relay->book);
-  mt_part_holders_free(&relay->holders);
+  mt_load_table_free(&relay->book);
+  mt_prefix_holders_free(&relay->holders);
   mt_cold_starts_free(&relay->cold);
   mt_fair_share_free(&relay->shares);
   mt_suspects_free(&relay->suspects);
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -80,8 +80,8 @@
   uint64_t drains_heard;     /* engines that drain by other routers' gossip */
   uint64_t drains, backoffs; /* engines that advertised one to this router */
   uint64_t ends;             /* runs that were lost as their engine ended */
-  uint64_t trials[MT_TRIALS]; /* what owners answered to who wanted to run
-                                 what is on probation */
+  uint64_t trials[MT_TRIAL_COUNT];    /* what owners answered to who wanted to
+                                    run    what is on probation */
   uint64_t quotes_asked, quotes_late; /* rounds of questions to owners */
   uint64_t admissions[MT_ADMISSIONS]; /* what owners answered, by kind */
 } mt_relay_counters_t;
@@ -104,7 +104,7 @@
   int64_t last_event;  /* the caller has the events up to this; -1: none */
   int64_t tokens_in, tokens_out; /* 0: not told */
   int64_t tokens_hint;           /* guess of the tokens out; 0: none */
-  mt_prefix_part_t parts[MT_RELAY_PARTS_MAX];
+  mt_prefix_segment_t parts[MT_RELAY_PARTS_MAX];
   size_t parts_count;
 } mt_relay_ask_t;
 
@@ -129,7 +129,7 @@
 typedef struct mt_relay_quote_t {
   uint64_t engine;
   mt_engine_load_t peers; /* of all routers but the one that asked */
-  int64_t kept;           /* leading tokens of the prompt, probably there */
+  int64_t cached;         /* leading tokens of the prompt, probably there */
   uint64_t holder; /* another engine that read its shared parts; 0: none */
   mt_admission_t admission;
 } mt_relay_quote_t;
@@ -164,8 +164,8 @@
       bool up, refused; /* refused: nobody listens there */
     } probed;
     struct {
-      const mt_suspect_word_t *word; /* that is answered */
-      mt_trial_t verdict;
+      const mt_suspect_message_t *word; /* that is answered */
+      mt_trial_verdict_t verdict;
     } tried;
     struct {
       uint64_t engine;
@@ -216,11 +216,11 @@
       uint64_t source;     /* engine to take kept parts from; 0: none */
       mt_ms_t rested_ms;   /* a kept connection may have rested so long */
     } start;
-    uint64_t probe;         /* PROBE: the engine */
-    uint64_t place;         /* GIVE_BACK: the engine */
-    mt_suspect_word_t word; /* TELL */
-    int64_t length;         /* HEAD: of the body, or one of the below */
-    mt_bytes_t data;        /* borrowed until the next step */
+    uint64_t probe;            /* PROBE: the engine */
+    uint64_t place;            /* GIVE_BACK: the engine */
+    mt_suspect_message_t word; /* TELL */
+    int64_t length;            /* HEAD: of the body, or one of the below */
+    mt_bytes_t data;           /* borrowed until the next step */
   } u;
 } mt_relay_effect_t;
 
@@ -251,7 +251,7 @@
 typedef struct mt_relay_candidate_t {
   uint64_t engine;
   bool quoted;
-  int64_t kept;    /* leading tokens of the prompt, probably there */
+  int64_t cached;  /* leading tokens of the prompt, probably there */
   uint64_t holder; /* an engine that read its shared parts; 0: not told */
   mt_admission_t admission;
 } mt_relay_candidate_t;
@@ -275,7 +275,7 @@
   mt_ms_t arrived, expires, deadline; /* deadline: the caller's; 0: none */
   /* What it brings. */
   int64_t tokens_in, tokens_out, cost, last_event;
-  mt_prefix_part_t parts[MT_RELAY_PARTS_MAX];
+  mt_prefix_segment_t parts[MT_RELAY_PARTS_MAX];
   size_t parts_count;
   /* Where it may go. */
   uint64_t home_of_all, home_near; /* engines where its shared parts gather,
@@ -293,15 +293,15 @@
   int attempt, arrivals; /* attempts that may have reached an engine */
   bool gone_out;         /* bytes of it may have reached the engine */
   bool awaiting_event, may_have_run, events, framed, vouched, served;
-  int64_t unread, held; /* its part of the engine's load */
-  int64_t fetched;      /* tokens that the engine takes from another */
-  bool home;            /* all routers would look for its parts there */
-  bool has_place;       /* at a cold engine */
-  int64_t work_ahead;   /* unread there when it was sent, itself included */
+  int64_t pending_prefill, held; /* its part of the engine's load */
+  int64_t fetched;    /* tokens that the engine takes from another */
+  bool home;          /* all routers would look for its parts there */
+  bool has_place;     /* at a cold engine */
+  int64_t work_ahead; /* unread there when it was sent, itself included */
   double wait_expected, standing; /* when it was decided, for logs */
   double first_expected; /* ms from sending to the first event, likewise */
   mt_ms_t first;         /* the same as it came; 0: not yet */
-  mt_ms_t sent, heard;
+  mt_ms_t sent, last_received;
   int status;
   uint64_t tried[MT_RELAY_TRIES_MAX];
   int tried_count;
@@ -313,7 +313,7 @@
 /* What is learnt of a service's engines. */
 typedef struct mt_relay_service_t {
   mt_id_t id;
-  mt_read_time_t read_time;
+  mt_prefill_time_t read_time;
   mt_retry_budget_t budget;
   int ready;                          /* engines, counted by the tick */
   double usual_unread, usual_running; /* at homes, as owners told lately */
@@ -367,8 +367,8 @@
 /* How full another failure domain was, as owners there told lately. */
 typedef struct mt_domain_load_t {
   mt_id_t domain, service;
-  double unread; /* at one engine, smoothed */
-  mt_ms_t told;  /* by the last of them; 0: none has */
+  double pending_prefill; /* at one engine, smoothed */
+  mt_ms_t told;           /* by the last of them; 0: none has */
 } mt_domain_load_t;
 
 #define MT_DOMAIN_LOADS_MAX 256
@@ -399,9 +399,9 @@
   int routers;  /* that are believed to serve, this one included */
   double reach; /* the part that they are of all that are known */
   mt_engines_t engines;
-  mt_load_book_t book;       /* of the engines that this router keeps */
-  mt_part_holders_t holders; /* of parts whose home is kept here */
-  mt_cold_starts_t cold;     /* engines that are, and places there */
+  mt_load_table_t book;        /* of the engines that this router keeps */
+  mt_prefix_holders_t holders; /* of parts whose home is kept here */
+  mt_cold_starts_t cold;       /* engines that are, and places there */
   mt_domain_load_t domain_loads[MT_DOMAIN_LOADS_MAX];
   size_t domain_loads_count;
   mt_evacuations_t evacuations;
@@ -470,12 +470,13 @@
 */
 void mt_relay_heard_load (mt_relay_t *relay, uint64_t engine,
                           const mt_load_row_t *row,
-                          const mt_prefix_part_t *parts, size_t count);
+                          const mt_prefix_segment_t *parts, size_t count);
 
 /* What this router, as the engine's owner, tells a router that asks. */
 mt_relay_quote_t mt_relay_quote (mt_relay_t *relay, uint64_t engine,
                                  uint64_t router,
-                                 const mt_prefix_part_t *parts, size_t count);
+                                 const mt_prefix_segment_t *parts,
+                                 size_t count);
 
 /*
 ** Whether the engine may be sent one request of whoever asks. `keeps`: all
@@ -489,7 +490,7 @@
                                     mt_relay_effect_kind_t kind);
 
 /* How long one engine of the service takes to read prompts. */
-mt_read_line_t mt_relay_read_line (mt_relay_t *relay, mt_id_t service);
+mt_prefill_model_t mt_relay_read_line (mt_relay_t *relay, mt_id_t service);
 /* The same without the fixed part: tokens per ms. */
 double mt_relay_rate (mt_relay_t *relay, mt_id_t service);
 mt_relay_service_t *mt_relay_service (mt_relay_t *relay, mt_id_t id);
--- a/src/relay/relay_load.c
+++ b/src/relay/relay_load.c
@@ -37,12 +37,12 @@
   return (double)total / 1000.0 / s->ready;
 }
 
-mt_read_line_t mt_relay_read_line (mt_relay_t *relay, mt_id_t service) {
+mt_prefill_model_t mt_relay_read_line (mt_relay_t *relay, mt_id_t service) {
   mt_relay_service_t *s = mt_relay_service(relay, service);
   double declared = declared_rate(relay, s);
   if (relay->terms.off[MT_RELAY_FIXED_PART])
-    return mt_read_time_ratio(&s->read_time, declared);
-  return mt_read_time_line(&s->read_time, declared);
+    return mt_prefill_time_fit_ratio(&s->read_time, declared);
+  return mt_prefill_time_fit(&s->read_time, declared);
 }
 
 double mt_relay_rate (mt_relay_t *relay, mt_id_t service) {
@@ -53,9 +53,9 @@
 void mt_relay_learn_rate (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
   double took = mt_max((double)(relay->now - r->sent), 1.0);
-  mt_read_line_t line = mt_relay_read_line(relay, r->service);
+  mt_prefill_model_t line = mt_relay_read_line(relay, r->service);
   double expected = line.fixed_ms + (double)r->work_ahead * line.ms_per_token;
-  mt_read_time_learn(&s->read_time, (double)r->work_ahead, took);
+  mt_prefill_time_add(&s->read_time, (double)r->work_ahead, took);
   double seen = took / mt_max(expected, 1.0);
   if (relay->terms.off[MT_RELAY_SLOWNESS]) return;
   if (expected < (double)r->objective / 8) return; /* mostly fixed costs */
@@ -72,48 +72,49 @@
                       const mt_placement_t *p) {
   mt_engine_t *e = p->engine;
   const mt_catalog_service_t *s =
-      mt_catalog_service(relay->catalog, r->service);
+      mt_catalog_find_service(relay->catalog, r->service);
   r->engine = e;
   snprintf(r->engine_name, sizeof r->engine_name, "%s", e->name);
-  r->unread = p->miss;
+  r->pending_prefill = p->miss;
   r->home = p->home;
   r->fetched = p->fetch.tokens;
   int64_t own = r->tokens_in;
   if (r->parts_count > 0) own = r->parts[r->parts_count - 1].tokens;
   r->held = own + r->tokens_out;
   r->awaiting_event = true;
-  r->work_ahead = e->here.unread + e->peers.unread + p->miss;
+  r->work_ahead =
+      e->local.pending_prefill + e->peers.pending_prefill + p->miss;
   r->wait_expected = p->wait_ms;
   r->first_expected = p->first_ms;
-  e->here.running++;
-  e->here.unread += r->unread;
-  e->here.held += r->held;
-  e->read += p->miss + r->tokens_out;
-  e->kept.clock += p->miss + r->tokens_out;
+  e->local.running++;
+  e->local.pending_prefill += r->pending_prefill;
+  e->local.held += r->held;
+  e->tokens_processed += p->miss + r->tokens_out;
+  e->cached.clock += p->miss + r->tokens_out;
   mt_engine_load_changed(e);
-  if (s == NULL || s->memory == 0 || r->parts_count == 0) return;
-  mt_prefix_cache_use(&e->kept, r->parts, r->parts_count, s->memory);
+  if (s == NULL || s->kv_capacity == 0 || r->parts_count == 0) return;
+  mt_prefix_cache_use(&e->cached, r->parts, r->parts_count, s->kv_capacity);
 }
 
 void mt_relay_engine_gone (mt_relay_t *relay, mt_engine_t *e) {
   if (e->state == MT_ENGINE_GONE) return;
   e->state = MT_ENGINE_GONE;
-  e->gone = relay->now;
+  e->removed_at = relay->now;
   if (relay->log_engine != NULL) relay->log_engine(relay->log_ud, e);
 }
 
 void mt_relay_prompt_read (mt_relay_request_t *r) {
   if (r->engine == NULL || !r->awaiting_event) return;
   r->awaiting_event = false;
-  r->engine->here.unread -= r->unread;
+  r->engine->local.pending_prefill -= r->pending_prefill;
   mt_engine_load_changed(r->engine);
 }
 
 void mt_relay_disengage (mt_relay_request_t *r) {
   if (r->engine == NULL) return;
   mt_relay_prompt_read(r);
-  r->engine->here.running--;
-  r->engine->here.held -= r->held;
+  r->engine->local.running--;
+  r->engine->local.held -= r->held;
   mt_engine_load_changed(r->engine);
   r->engine = NULL;
 }
@@ -129,13 +130,13 @@
   for (size_t i = relay->engines.count; i-- > 0;) {
     mt_engine_t *e = relay->engines.list[i];
     e->slowness = 1 + (e->slowness - 1) * SLOWNESS_REST;
-    if (mt_engine_stays(e, relay->now))
+    if (mt_engine_is_available(e, relay->now))
       mt_relay_service(relay, e->service)->ready++;
-    if (e->vanished != 0 && e->state == MT_ENGINE_READY &&
-        relay->now - e->vanished >= relay->terms.vanish_ms)
+    if (e->unlisted_since != 0 && e->state == MT_ENGINE_READY &&
+        relay->now - e->unlisted_since >= relay->terms.vanish_ms)
       mt_relay_engine_gone(relay, e);
-    if (e->state == MT_ENGINE_GONE && e->here.running == 0 &&
-        relay->now - e->gone > FORGET_MS)
+    if (e->state == MT_ENGINE_GONE && e->local.running == 0 &&
+        relay->now - e->removed_at > FORGET_MS)
       mt_engines_remove(&relay->engines, e);
   }
 }
@@ -150,10 +151,10 @@
 ** tries itself.
 */
 static void probe_engines (mt_relay_t *relay) {
-  for (size_t i = 0; i < relay->engines.attended_count; i++) {
-    mt_engine_t *e = relay->engines.attended[i];
+  for (size_t i = 0; i < relay->engines.active_count; i++) {
+    mt_engine_t *e = relay->engines.active[i];
     if (!e->unreachable || e->probing || e->probe > relay->now) continue;
-    if (!mt_engine_stays(e, relay->now)) continue;
+    if (!mt_engine_is_available(e, relay->now)) continue;
     e->probing = true;
     mt_relay_effect(relay, MT_RELAY_DO_PROBE)->u.probe = e->key;
     relay->counters.probes++;
@@ -162,8 +163,8 @@
 
 /* Without probes an unreachable engine rests; then a request tries it. */
 static void end_rests (mt_relay_t *relay) {
-  for (size_t i = 0; i < relay->engines.attended_count; i++) {
-    mt_engine_t *e = relay->engines.attended[i];
+  for (size_t i = 0; i < relay->engines.active_count; i++) {
+    mt_engine_t *e = relay->engines.active[i];
     if (e->probe + UNPROBED_REST_MS <= relay->now) e->unreachable = false;
   }
 }
@@ -181,40 +182,41 @@
 
 void mt_relay_heard_load (mt_relay_t *relay, uint64_t engine,
                           const mt_load_row_t *row,
-                          const mt_prefix_part_t *parts, size_t count) {
+                          const mt_prefix_segment_t *parts, size_t count) {
   mt_engine_t *e = mt_engines_get(&relay->engines, engine);
-  int64_t read = mt_load_book_take(&relay->book, engine, row);
+  int64_t tokens_processed = mt_load_table_set(&relay->book, engine, row);
   if (e == NULL) return;
-  e->kept.clock += read;
+  e->cached.clock += tokens_processed;
   if (count == 0 || relay->catalog == NULL) return;
   const mt_catalog_service_t *s =
-      mt_catalog_service(relay->catalog, e->service);
-  if (s != NULL && s->memory > 0)
-    mt_prefix_cache_use(&e->kept, parts, count, s->memory);
+      mt_catalog_find_service(relay->catalog, e->service);
+  if (s != NULL && s->kv_capacity > 0)
+    mt_prefix_cache_use(&e->cached, parts, count, s->kv_capacity);
 }
 
 mt_relay_quote_t mt_relay_quote (mt_relay_t *relay, uint64_t engine,
                                  uint64_t router,
-                                 const mt_prefix_part_t *parts,
+                                 const mt_prefix_segment_t *parts,
                                  size_t count) {
   mt_relay_quote_t quote = {.engine = engine};
   mt_engine_t *e = mt_engines_get(&relay->engines, engine);
-  quote.peers = mt_load_book_sum(&relay->book, engine, router, relay->now);
+  quote.peers = mt_load_table_sum(&relay->book, engine, router, relay->now);
   if (e == NULL || relay->catalog == NULL) return quote;
   const mt_catalog_service_t *s =
-      mt_catalog_service(relay->catalog, e->service);
+      mt_catalog_find_service(relay->catalog, e->service);
   mt_engine_load_t all =
-      mt_load_book_sum(&relay->book, engine, 0, relay->now);
+      mt_load_table_sum(&relay->book, engine, 0, relay->now);
   if (router != 0) { /* the owner's own is another's, too */
-    quote.peers.unread += e->here.unread;
-    quote.peers.held += e->here.held;
-    quote.peers.running += e->here.running;
+    quote.peers.pending_prefill += e->local.pending_prefill;
+    quote.peers.held += e->local.held;
+    quote.peers.running += e->local.running;
   }
-  if (s == NULL || s->memory == 0) return quote;
-  int64_t room = mt_max(s->memory - e->here.held - all.held, s->memory / 8);
-  quote.kept = mt_prefix_cache_match(&e->kept, parts, count, room);
-  uint64_t holder = mt_part_holders_find(
-      &relay->holders, mt_prompt_memory_home_part(parts, count));
+  if (s == NULL || s->kv_capacity == 0) return quote;
+  int64_t room =
+      mt_max(s->kv_capacity - e->local.held - all.held, s->kv_capacity / 8);
+  quote.cached = mt_prefix_cache_match(&e->cached, parts, count, room);
+  uint64_t holder = mt_prefix_holders_find(
+      &relay->holders, mt_kv_cache_home_segment(parts, count));
   if (holder != engine) quote.holder = holder;
   return quote;
 }
--- a/src/relay/request.c
+++ b/src/relay/request.c
@@ -68,7 +68,7 @@
 
 /* Its texts stay until the next step: effects may have borrowed them. */
 void mt_request_remove (mt_relay_t *relay, mt_relay_request_t *r) {
-  if (relay->effects != NULL) mt_quarantine_leave(relay, r);
+  if (relay->effects != NULL) mt_quarantine_release_leases(relay, r);
   mt_relay_disengage(r);
   relay->list[r->index] = relay->list[--relay->count];
   relay->list[r->index]->index = r->index;
@@ -86,7 +86,7 @@
                           mt_relay_refusal_t why) {
   if (mt_relay_refusal_status(why) != 503) return 0;
   if (why == MT_RELAY_QUARANTINED)
-    return mt_suspects_standing(&relay->suspects, r->digest, relay->now).left;
+    return mt_suspects_status(&relay->suspects, r->digest, relay->now).left;
   mt_ms_t rest = mt_candidates_backoff_left(relay, r);
   mt_ms_t base = RETRY_SOON_MS;
   if (rest > 0)
@@ -133,7 +133,7 @@
 /* What was counted as served has brought its caller nothing. */
 void mt_request_take_back (mt_relay_t *relay, mt_relay_request_t *r) {
   if (!r->served) return;
-  mt_fair_share_served(&relay->shares, r->workspace, -r->cost);
+  mt_fair_share_record_served(&relay->shares, r->workspace, -r->cost);
   r->served = false;
 }
 
@@ -157,20 +157,20 @@
   r->attempt++;
   r->arrivals++;
   r->tried[r->tried_count++ % MT_RELAY_TRIES_MAX] = p->engine->key;
-  r->sent = r->heard = relay->now;
+  r->sent = r->last_received = relay->now;
   r->status = 0;
   r->gone_out = false;
   r->body_size = 0;
   mt_event_stream_free(&r->stream);
   if (r->phase != MT_RELAY_STREAMING) r->phase = MT_RELAY_SENT;
-  mt_engine_sent(p->engine, relay->now);
+  mt_engine_request_sent(p->engine, relay->now);
   mt_admission_settle(relay, r, p->engine);
   mt_relay_engage(relay, r, p);
   relay->counters.attempts++;
   relay->counters.tokens_wanted += (uint64_t)r->tokens_in;
   relay->counters.tokens_missed += (uint64_t)p->miss;
   if (!r->served && r->workspace != 0 && r->parts_count > 0) {
-    mt_fair_share_served(&relay->shares, r->workspace, r->cost);
+    mt_fair_share_record_served(&relay->shares, r->workspace, r->cost);
     r->served = true;
   }
   mt_relay_effect_t *fx = mt_request_effect(relay, MT_RELAY_DO_START, r);
@@ -197,7 +197,7 @@
   if (r->arrivals >= r->attempts_max) return false;
   if ((ran || r->may_have_run) && !r->repeatable) return false;
   if (r->phase == MT_RELAY_STREAMING && !r->resumable) return false;
-  if (ran && mt_quarantine_once(relay, r)) return false;
+  if (ran && mt_quarantine_forbids_retry(relay, r)) return false;
   return relay->now + LAST_CHANCE_MS < r->expires;
 }
 
@@ -240,7 +240,7 @@
 static bool is_owed_retry (mt_relay_t *relay, const mt_relay_request_t *r,
                            mt_relay_retry_t reason) {
   if (reason != MT_RELAY_RETRY_SHED || r->workspace == 0) return true;
-  return mt_fair_share_standing(&relay->shares, r->workspace) <= 1;
+  return mt_fair_share_service_ratio(&relay->shares, r->workspace) <= 1;
 }
 
 /* Starts anew elsewhere; false when there is no engine, room or budget. */
@@ -278,7 +278,7 @@
 void mt_attempt_lost (mt_relay_t *relay, mt_relay_request_t *r,
                       mt_relay_retry_t reason) {
   mt_engine_failed(r->engine, relay->now);
-  mt_quarantine_lost(relay, r);
+  mt_quarantine_run_lost(relay, r);
   mt_attempt_failed(relay, r, reason, true);
 }
 
--- a/src/relay/silence.c
+++ b/src/relay/silence.c
@@ -25,10 +25,10 @@
 */
 bool mt_silence_is_too_long (const mt_relay_t *relay,
                              const mt_relay_request_t *r) {
-  mt_ms_t waited = since(r->heard, relay->seen);
+  mt_ms_t waited = since(r->last_received, relay->seen);
   if (waited > patience(r)) return true;
   if (r->kind != MT_ROUTE_STREAM || waited < ENGINE_SILENT_MS) return false;
-  mt_ms_t engine_waited = since(r->engine->heard, relay->seen);
+  mt_ms_t engine_waited = since(r->engine->last_received, relay->seen);
   mt_ms_t sent = since(r->sent, relay->seen);
   return engine_waited > ENGINE_SILENT_MS &&
          sent > ENGINE_SILENT_MS + (mt_ms_t)r->wait_expected;
--- a/src/relay/suspects.c
+++ b/src/relay/suspects.c
@@ -14,13 +14,13 @@
 #define SAME_END_MS 1000
 #define SAME_ALONE_MS 100
 #define QUARANTINE_MS 600000 /* the first; each further one twice as long */
-#define DOUBLINGS_MOST 3
-#define KEPT_MS 7200000 /* longer than any quarantine */
-#define NOTED_MS 600000
-#define CLEARED_MS 60000 /* until all that is on its way has arrived */
-#define SUSPECTS_MOST 4096
-#define LOOKED_AT 64 /* for one to forget, when there are so many */
-#define ANSWERS_KEPT 4096
+#define DOUBLINGS_MAX 3
+#define SUSPECT_TTL_MS 7200000 /* longer than any quarantine */
+#define NOTED_TTL_MS 600000
+#define CLEARED_TTL_MS 60000 /* until all that is on its way has arrived */
+#define SUSPECTS_MAX 4096
+#define EVICTION_SAMPLE 64 /* for one to forget, when there are so many */
+#define ANSWERS_MAX 4096
 
 const char *mt_suspicion_name (mt_suspicion_t state) {
   switch (state) {
@@ -28,7 +28,7 @@
     case MT_SUSPICION_NOTED: return "noted";
     case MT_SUSPICION_PROBATION: return "probation";
     case MT_SUSPICION_QUARANTINE: return "quarantine";
-    case MT_SUSPICIONS: break;
+    case MT_SUSPICION_COUNT: break;
   }
   return "";
 }
@@ -37,8 +37,8 @@
   mtV_each (&t->by_digest, i) free(t->by_digest.vals[i]);
   mtV_free(&t->by_digest);
   mt_lease_table_free(&t->leases);
-  mtV_free(&t->answered_at);
-  free(t->answered);
+  mtV_free(&t->answer_slots);
+  free(t->answers);
 }
 
 /* {== The table ======================================================== */
@@ -57,7 +57,7 @@
 }
 
 /* Nothing follows from it. */
-static bool is_minor (const mt_suspect_t *s) {
+static bool is_below_threshold (const mt_suspect_t *s) {
   return count_ends(s) < PROBATION_ENDS;
 }
 
@@ -65,11 +65,11 @@
    stay. False when there is none. */
 static bool make_room (mt_suspects_t *t) {
   mt_suspect_t *first = NULL;
-  if (t->by_digest.used < SUSPECTS_MOST) return true;
-  for (size_t i = 0; i < LOOKED_AT; i++) {
+  if (t->by_digest.used < SUSPECTS_MAX) return true;
+  for (size_t i = 0; i < EVICTION_SAMPLE; i++) {
     size_t at = t->cursor++ % t->by_digest.cap;
     mt_suspect_t *s = t->by_digest.vals[at];
-    if (t->by_digest.keys[at] == 0 || !is_minor(s)) continue;
+    if (t->by_digest.keys[at] == 0 || !is_below_threshold(s)) continue;
     if (first == NULL || s->expires < first->expires) first = s;
   }
   if (first != NULL) forget(t, first);
@@ -87,7 +87,8 @@
 
 /* {== What holds ======================================================= */
 
-static bool is_same (const mt_suspect_end_t *a, const mt_suspect_end_t *b) {
+static bool is_same_end (const mt_suspect_end_t *a,
+                         const mt_suspect_end_t *b) {
   mt_ms_t apart = mt_max(a->at, b->at) - mt_min(a->at, b->at);
   return a->engine == b->engine && apart < SAME_END_MS;
 }
@@ -98,14 +99,14 @@
     const mt_suspect_end_t *known = &s->list[i];
     mt_ms_t apart = mt_max(known->at, end->at) - mt_min(known->at, end->at);
     bool one = !end->alone || apart < SAME_ALONE_MS;
-    if (one && is_same(known, end)) return true;
+    if (one && is_same_end(known, end)) return true;
   }
   return false;
 }
 
 static bool has_end (const mt_suspect_t *s, const mt_suspect_end_t *end) {
   for (int i = 0; i < s->listed; i++)
-    if (is_same(&s->list[i], end)) return true;
+    if (is_same_end(&s->list[i], end)) return true;
   return false;
 }
 
@@ -114,58 +115,59 @@
                        const mt_suspect_end_t *end) {
   mtV_each (&t->by_digest, i) {
     const mt_suspect_t *other = t->by_digest.vals[i];
-    if (other != s && !is_minor(other) && has_end(other, end)) return true;
+    if (other != s && !is_below_threshold(other) && has_end(other, end))
+      return true;
   }
   return false;
 }
 
-static mt_ms_t quarantine_of (int alone) {
-  int doublings = mt_min(mt_max(alone - QUARANTINE_ALONE, 0), DOUBLINGS_MOST);
+static mt_ms_t quarantine_duration (int alone) {
+  int doublings = mt_min(mt_max(alone - QUARANTINE_ALONE, 0), DOUBLINGS_MAX);
   return (mt_ms_t)QUARANTINE_MS << doublings;
 }
 
-static mt_suspect_standing_t
-standing_of (const mt_suspects_t *t, const mt_suspect_t *s, mt_ms_t now) {
-  mt_suspect_standing_t standing = {.ends = count_ends(s),
-                                    .alone = s->earlier_alone};
+static mt_suspect_status_t status_of (const mt_suspects_t *t,
+                                      const mt_suspect_t *s, mt_ms_t now) {
+  mt_suspect_status_t status = {.ends = count_ends(s),
+                                .alone = s->earlier_alone};
   mt_ms_t last = 0;
   for (int i = 0; i < s->listed; i++) {
     const mt_suspect_end_t *end = &s->list[i];
     if (!end->alone || is_shared(t, s, end)) continue;
-    standing.alone++;
+    status.alone++;
     last = end->at;
   }
-  mt_ms_t until = last + quarantine_of(standing.alone);
-  bool convicted = standing.ends >= QUARANTINE_ENDS &&
-                   standing.alone >= QUARANTINE_ALONE && last > 0;
+  mt_ms_t until = last + quarantine_duration(status.alone);
+  bool convicted = status.ends >= QUARANTINE_ENDS &&
+                   status.alone >= QUARANTINE_ALONE && last > 0;
   if (convicted && now < until) {
-    standing.state = MT_SUSPICION_QUARANTINE;
-    standing.left = until - now;
-  } else if (!is_minor(s)) {
-    standing.state = MT_SUSPICION_PROBATION;
-  } else if (standing.ends > 0) {
-    standing.state = MT_SUSPICION_NOTED;
+    status.state = MT_SUSPICION_QUARANTINE;
+    status.left = until - now;
+  } else if (!is_below_threshold(s)) {
+    status.state = MT_SUSPICION_PROBATION;
+  } else if (status.ends > 0) {
+    status.state = MT_SUSPICION_NOTED;
   }
-  return standing;
+  return status;
 }
 
-mt_suspect_standing_t mt_suspects_standing (const mt_suspects_t *t,
-                                            uint64_t digest, mt_ms_t now) {
+mt_suspect_status_t mt_suspects_status (const mt_suspects_t *t,
+                                        uint64_t digest, mt_ms_t now) {
   const mt_suspect_t *s = mt_suspects_get(t, digest);
-  if (s == NULL) return (mt_suspect_standing_t){.ends = 0};
-  return standing_of(t, s, now);
+  if (s == NULL) return (mt_suspect_status_t){.ends = 0};
+  return status_of(t, s, now);
 }
 
 mt_suspicion_t mt_suspects_state (const mt_suspects_t *t, uint64_t digest,
                                   mt_ms_t now) {
-  return mt_suspects_standing(t, digest, now).state;
+  return mt_suspects_status(t, digest, now).state;
 }
 
 size_t mt_suspects_count (const mt_suspects_t *t, mt_suspicion_t state,
                           mt_ms_t now) {
   size_t count = 0;
   mtV_each (&t->by_digest, i)
-    count += standing_of(t, t->by_digest.vals[i], now).state == state;
+    count += status_of(t, t->by_digest.vals[i], now).state == state;
   return count;
 }
 
@@ -181,13 +183,13 @@
 
 /* {== The owner's part ================================================= */
 
-static mt_ms_t kept_for (const mt_suspect_t *s) {
-  if (count_ends(s) == 0) return CLEARED_MS;
-  return is_minor(s) ? NOTED_MS : KEPT_MS;
+static mt_ms_t time_to_live (const mt_suspect_t *s) {
+  if (count_ends(s) == 0) return CLEARED_TTL_MS;
+  return is_below_threshold(s) ? NOTED_TTL_MS : SUSPECT_TTL_MS;
 }
 
 /* The oldest of a full list goes on among those that are only counted. */
-static void list_end (mt_suspect_t *s, const mt_suspect_end_t *end) {
+static void append_end (mt_suspect_t *s, const mt_suspect_end_t *end) {
   if (s->listed == MT_SUSPECT_ENDS_MAX) {
     s->earlier++;
     s->earlier_alone += s->list[0].alone;
@@ -197,8 +199,8 @@
   s->list[s->listed++] = *end;
 }
 
-bool mt_suspects_ended (mt_suspects_t *t, uint64_t digest,
-                        const mt_suspect_end_t *end, mt_ms_t now) {
+bool mt_suspects_add_end (mt_suspects_t *t, uint64_t digest,
+                          const mt_suspect_end_t *end, mt_ms_t now) {
   mt_suspect_t *s = add(t, digest);
   if (s == NULL) return false;
   bool cleared = count_ends(s) == 0 && s->version > 0;
@@ -206,18 +208,18 @@
   if (cleared && end->at <= s->since) return false;
   if (is_counted(s, end)) return false;
   if (count_ends(s) == 0) s->since = end->at;
-  list_end(s, end);
+  append_end(s, end);
   s->version++;
-  s->expires = now + kept_for(s);
-  return !is_minor(s);
+  s->expires = now + time_to_live(s);
+  return !is_below_threshold(s);
 }
 
-bool mt_suspects_cleared (mt_suspects_t *t, uint64_t digest, mt_ms_t at,
-                          mt_ms_t now) {
+bool mt_suspects_clear (mt_suspects_t *t, uint64_t digest, mt_ms_t at,
+                        mt_ms_t now) {
   mt_suspect_t *s = mt_suspects_get(t, digest);
   int kept = 0;
   if (s == NULL || count_ends(s) == 0 || at < s->since) return false;
-  bool was_minor = is_minor(s);
+  bool was_minor = is_below_threshold(s);
   for (int i = 0; i < s->listed; i++)
     if (s->list[i].at > at) s->list[kept++] = s->list[i];
   s->listed = kept;
@@ -225,21 +227,23 @@
   s->since = kept > 0 ? s->list[0].at : at;
   mt_lease_table_revoke(&t->leases, digest);
   s->version++;
-  s->expires = now + kept_for(s);
+  s->expires = now + time_to_live(s);
   return !was_minor;
 }
 
-mt_trial_t mt_suspects_try (mt_suspects_t *t, uint64_t digest,
-                            uint64_t holder, mt_ms_t lease, mt_ms_t now) {
+mt_trial_verdict_t mt_suspects_lease (mt_suspects_t *t, uint64_t digest,
+                                      uint64_t holder, mt_ms_t lease,
+                                      mt_ms_t now) {
   mt_suspect_t *s = mt_suspects_get(t, digest);
-  if (s == NULL || is_minor(s)) return MT_TRIAL_FREE;
-  if (standing_of(t, s, now).state == MT_SUSPICION_QUARANTINE)
+  if (s == NULL || is_below_threshold(s)) return MT_TRIAL_FREE;
+  if (status_of(t, s, now).state == MT_SUSPICION_QUARANTINE)
     return MT_TRIAL_REFUSED;
-  return mt_suspects_hold(t, digest, holder, lease, now);
+  return mt_suspects_lease_engine(t, digest, holder, lease, now);
 }
 
-mt_trial_t mt_suspects_hold (mt_suspects_t *t, uint64_t engine,
-                             uint64_t holder, mt_ms_t lease, mt_ms_t now) {
+mt_trial_verdict_t mt_suspects_lease_engine (mt_suspects_t *t,
+                                             uint64_t engine, uint64_t holder,
+                                             mt_ms_t lease, mt_ms_t now) {
   bool held = mt_lease_table_take(&t->leases, engine, holder, lease, now);
   return held ? MT_TRIAL_GRANTED : MT_TRIAL_BUSY;
 }
@@ -259,7 +263,7 @@
                           .earlier = s->earlier,
                           .earlier_alone = s->earlier_alone,
                           .age = now - mt_min(s->since, now),
-                          .rest = s->expires - mt_min(s->expires, now)};
+                          .expires_in = s->expires - mt_min(s->expires, now)};
   for (int i = 0; i < s->listed; i++) {
     row.list[i] = s->list[i];
     row.list[i].at = now - mt_min(s->list[i].at, now);
@@ -274,10 +278,10 @@
   return row->earlier + row->listed > count_ends(s);
 }
 
-bool mt_suspects_take (mt_suspects_t *t, const mt_suspect_row_t *row,
-                       mt_ms_t now) {
+bool mt_suspects_merge (mt_suspects_t *t, const mt_suspect_row_t *row,
+                        mt_ms_t now) {
   mt_suspect_t *s = mt_suspects_get(t, row->digest);
-  if (row->rest == 0) return false;
+  if (row->expires_in == 0) return false;
   if (s == NULL) s = add(t, row->digest);
   if (s == NULL || !is_newer(s, row)) return false;
   s->version = row->version;
@@ -285,7 +289,7 @@
   s->earlier = row->earlier;
   s->earlier_alone = row->earlier_alone;
   s->since = now - mt_min(row->age, now);
-  s->expires = now + mt_min(row->rest, (mt_ms_t)KEPT_MS);
+  s->expires = now + mt_min(row->expires_in, (mt_ms_t)SUSPECT_TTL_MS);
   for (int i = 0; i < s->listed; i++) {
     s->list[i] = row->list[i];
     s->list[i].at = now - mt_min(row->list[i].at, now);
@@ -294,7 +298,7 @@
 }
 
 /* One with one end is its owner's alone. */
-static bool goes_round (const mt_suspect_t *s) {
+static bool is_gossiped (const mt_suspect_t *s) {
   return s->version > 0 && count_ends(s) != 1;
 }
 
@@ -304,7 +308,7 @@
   for (size_t i = 0; i < cap && count < most; i++) {
     size_t at = (*place)++ % cap;
     const mt_suspect_t *s = t->by_digest.vals[at];
-    if (t->by_digest.keys[at] == 0 || !goes_round(s)) continue;
+    if (t->by_digest.keys[at] == 0 || !is_gossiped(s)) continue;
     rows[count++] = mt_suspects_row(s, now);
   }
   return count;
@@ -316,23 +320,23 @@
 
 void mt_suspects_note_answer (mt_suspects_t *t, uint64_t digest,
                               mt_ms_t now) {
-  uintptr_t place = (uintptr_t)mtV_get(&t->answered_at, digest);
+  uintptr_t place = (uintptr_t)mtV_get(&t->answer_slots, digest);
   if (place != 0) {
-    t->answered[place - 1].at = now;
+    t->answers[place - 1].at = now;
     return;
   }
-  if (t->answered == NULL)
-    t->answered = mtV_new(ANSWERS_KEPT * sizeof *t->answered);
-  size_t next = t->answered_next++ % ANSWERS_KEPT;
-  if (t->answered[next].digest != 0)
-    mtV_del(&t->answered_at, t->answered[next].digest);
-  t->answered[next] = (mt_answered_t){digest, now};
-  mtV_put(&t->answered_at, digest, (void *)(uintptr_t)(next + 1));
-}
-
-mt_ms_t mt_suspects_answered (const mt_suspects_t *t, uint64_t digest) {
-  uintptr_t place = (uintptr_t)mtV_get(&t->answered_at, digest);
-  return place != 0 ? t->answered[place - 1].at : 0;
+  if (t->answers == NULL)
+    t->answers = mtV_new(ANSWERS_MAX * sizeof *t->answers);
+  size_t next = t->answers_added++ % ANSWERS_MAX;
+  if (t->answers[next].digest != 0)
+    mtV_del(&t->answer_slots, t->answers[next].digest);
+  t->answers[next] = (mt_suspect_answer_t){digest, now};
+  mtV_put(&t->answer_slots, digest, (void *)(uintptr_t)(next + 1));
+}
+
+mt_ms_t mt_suspects_last_answer (const mt_suspects_t *t, uint64_t digest) {
+  uintptr_t place = (uintptr_t)mtV_get(&t->answer_slots, digest);
+  return place != 0 ? t->answers[place - 1].at : 0;
 }
 
 /* }== */
--- a/src/relay/suspects.h
+++ b/src/relay/suspects.h
@@ -34,7 +34,7 @@
   MT_SUSPICION_NOTED,      /* an engine ended; nothing follows from that */
   MT_SUSPICION_PROBATION,  /* it runs one copy at a time */
   MT_SUSPICION_QUARANTINE, /* it is refused */
-  MT_SUSPICIONS
+  MT_SUSPICION_COUNT
 } mt_suspicion_t;
 
 /* An engine ended under the request. */
@@ -58,51 +58,52 @@
   uint64_t digest, version;
   mt_suspect_end_t list[MT_SUSPECT_ENDS_MAX]; /* `at`: so long ago */
   int listed, earlier, earlier_alone;
-  mt_ms_t age, rest; /* since `since`, until `expires` */
+  mt_ms_t age, expires_in; /* since `since`, until `expires` */
 } mt_suspect_row_t;
 
 /* An owner's word to who wants to run a copy. */
-typedef enum mt_trial_t {
+typedef enum mt_trial_verdict_t {
   MT_TRIAL_FREE,    /* nothing against it: any number may run */
   MT_TRIAL_GRANTED, /* this one may, and no other until it is over */
   MT_TRIAL_BUSY,    /* another one runs */
   MT_TRIAL_REFUSED, /* it is in quarantine */
-  MT_TRIALS
-} mt_trial_t;
+  MT_TRIAL_COUNT
+} mt_trial_verdict_t;
 
 /* What a router tells the owner of a request. */
-typedef enum mt_word_kind_t {
-  MT_WORD_ENDED,    /* an engine ended under it */
-  MT_WORD_ANSWERED, /* it was answered whole */
-  MT_WORD_TRY,      /* may it run? */
-  MT_WORD_RELEASE,  /* it does not run any more */
-  MT_WORD_HOLD,     /* of an engine's: may a suspect run there? */
-  MT_WORD_DROP,     /* it does not run there any more */
-  MT_WORDS
-} mt_word_kind_t;
-
-typedef struct mt_suspect_word_t {
-  mt_word_kind_t kind;
+typedef enum mt_suspect_message_kind_t {
+  MT_SUSPECT_MESSAGE_ENDED,        /* an engine ended under it */
+  MT_SUSPECT_MESSAGE_ANSWERED,     /* it was answered whole */
+  MT_SUSPECT_MESSAGE_LEASE,        /* may it run? */
+  MT_SUSPECT_MESSAGE_RELEASE,      /* it does not run any more */
+  MT_SUSPECT_MESSAGE_LEASE_ENGINE, /* of an engine's: may a suspect run there?
+                                    */
+  MT_SUSPECT_MESSAGE_RELEASE_ENGINE, /* it does not run there any more */
+  MT_SUSPECT_MESSAGE_COUNT
+} mt_suspect_message_kind_t;
+
+typedef struct mt_suspect_message_t {
+  mt_suspect_message_kind_t kind;
   uint64_t digest;
   uint64_t engine;  /* ENDED, HOLD, DROP */
   uint64_t request; /* its number at that router, as leases go */
   bool alone;       /* ENDED: no other copy ran */
   mt_ms_t age;      /* ENDED, ANSWERED: since then */
   mt_ms_t lease;    /* TRY, HOLD: for so long at most */
-} mt_suspect_word_t;
+} mt_suspect_message_t;
 
-typedef struct mt_answered_t {
+typedef struct mt_suspect_answer_t {
   uint64_t digest;
   mt_ms_t at;
-} mt_answered_t;
+} mt_suspect_answer_t;
 
 typedef struct mt_suspects_t {
-  mt_map_t by_digest;      /* mt_suspect_t, owned */
-  mt_lease_table_t leases; /* of suspects that run, and where they do */
-  size_t cursor;           /* of the search for one to forget */
-  mt_answered_t *answered; /* a ring of the last whole answers */
-  mt_map_t answered_at;    /* digest -> its place in the ring, plus 1 */
-  size_t answered_next;
+  mt_map_t by_digest;           /* mt_suspect_t, owned */
+  mt_lease_table_t leases;      /* of suspects that run, and where they do */
+  size_t cursor;                /* of the search for one to forget */
+  mt_suspect_answer_t *answers; /* a ring of the last whole answers */
+  mt_map_t answer_slots;        /* digest -> its place in the ring, plus 1 */
+  size_t answers_added;
 } mt_suspects_t;
 
 void mt_suspects_free (mt_suspects_t *suspects);
@@ -112,34 +113,36 @@
                                uint64_t digest);
 
 /* What holds of a request now. */
-typedef struct mt_suspect_standing_t {
+typedef struct mt_suspect_status_t {
   mt_suspicion_t state;
   int ends, alone; /* alone: that count */
   mt_ms_t left;    /* of the quarantine */
-} mt_suspect_standing_t;
+} mt_suspect_status_t;
 
-mt_suspect_standing_t mt_suspects_standing (const mt_suspects_t *suspects,
-                                            uint64_t digest, mt_ms_t now);
+mt_suspect_status_t mt_suspects_status (const mt_suspects_t *suspects,
+                                        uint64_t digest, mt_ms_t now);
 mt_suspicion_t mt_suspects_state (const mt_suspects_t *suspects,
                                   uint64_t digest, mt_ms_t now);
 
 /* {== The owner's part ================================================= */
 
 /* Counts an end once, whoever tells of it; true when others have to know. */
-bool mt_suspects_ended (mt_suspects_t *suspects, uint64_t digest,
-                        const mt_suspect_end_t *end, mt_ms_t now);
+bool mt_suspects_add_end (mt_suspects_t *suspects, uint64_t digest,
+                          const mt_suspect_end_t *end, mt_ms_t now);
 
 /* It was answered whole: earlier ends say nothing. True as above. */
-bool mt_suspects_cleared (mt_suspects_t *suspects, uint64_t digest,
-                          mt_ms_t at, mt_ms_t now);
+bool mt_suspects_clear (mt_suspects_t *suspects, uint64_t digest, mt_ms_t at,
+                        mt_ms_t now);
 
 /* Hands out the one lease to run it. */
-mt_trial_t mt_suspects_try (mt_suspects_t *suspects, uint64_t digest,
-                            uint64_t holder, mt_ms_t lease, mt_ms_t now);
+mt_trial_verdict_t mt_suspects_lease (mt_suspects_t *suspects,
+                                      uint64_t digest, uint64_t holder,
+                                      mt_ms_t lease, mt_ms_t now);
 
 /* The same of an engine, for any suspect to run there. */
-mt_trial_t mt_suspects_hold (mt_suspects_t *suspects, uint64_t engine,
-                             uint64_t holder, mt_ms_t lease, mt_ms_t now);
+mt_trial_verdict_t mt_suspects_lease_engine (mt_suspects_t *suspects,
+                                             uint64_t engine, uint64_t holder,
+                                             mt_ms_t lease, mt_ms_t now);
 
 /* The holder does not need the lease of a request or an engine any more. */
 void mt_suspects_release (mt_suspects_t *suspects, uint64_t name,
@@ -152,8 +155,8 @@
 mt_suspect_row_t mt_suspects_row (const mt_suspect_t *suspect, mt_ms_t now);
 
 /* Takes another router's row; false when it tells nothing newer. */
-bool mt_suspects_take (mt_suspects_t *suspects, const mt_suspect_row_t *row,
-                       mt_ms_t now);
+bool mt_suspects_merge (mt_suspects_t *suspects, const mt_suspect_row_t *row,
+                        mt_ms_t now);
 
 /* Rows that others should have, from a place in the table on; returns how
    many, at most `most`, and moves the place. */
@@ -168,7 +171,8 @@
                               mt_ms_t now);
 
 /* When it was last answered whole at this router; 0: not lately. */
-mt_ms_t mt_suspects_answered (const mt_suspects_t *suspects, uint64_t digest);
+mt_ms_t mt_suspects_last_answer (const mt_suspects_t *suspects,
+                                 uint64_t digest);
 
 /* }== */
 
--- a/tests/cold_start_test.cc
+++ b/tests/cold_start_test.cc
@@ -165,7 +165,7 @@
       for (const char *kind : {"m", "p"}) {
         mt_engine_t *e = find(kind + std::to_string(i));
         e->domain = strdup(i <= 4 ? "d1" : "d2");
-        e->far = i > 4;
+        e->remote = i > 4;
       }
   }
   using Relay::find;
@@ -386,14 +386,14 @@
   struct Row {
     const char *what;
     std::vector<const char *> emptied;
-    bool near, far; // whose engines get requests
+    bool near, remote; // whose engines get requests
   } rows[] = {{"none", {}, true, true},
               {"the own", {"d1"}, false, true},
               {"the other", {"d2"}, true, false},
               {"both", {"d1", "d2"}, false, false},
               {"one that has no engines", {"d9"}, true, true}};
   for (const Row &row : rows) {
-    int near = 0, far = 0, refused = 0;
+    int near = 0, remote = 0, refused = 0;
     for (const char *path : {"/stream/x", "/again/x"})
       for (uint64_t number = 1; number <= 40; number++) {
         Fleet w;
@@ -406,12 +406,12 @@
           key = fx->u.start.engine;
         refused += w.refusal() == MT_RELAY_NO_ENGINE;
         if (key == 0) continue;
-        (mt_engines_get(&w.relay->engines, key)->far ? far : near)++;
+        (mt_engines_get(&w.relay->engines, key)->remote ? remote : near)++;
       }
     EXPECT_EQ(near > 0, row.near) << row.what;
-    EXPECT_TRUE(far == 0 || row.far) << row.what;
-    EXPECT_EQ(near + far + refused, 80) << row.what;
-    EXPECT_EQ(refused > 0, !row.near && !row.far) << row.what;
+    EXPECT_TRUE(remote == 0 || row.remote) << row.what;
+    EXPECT_EQ(near + remote + refused, 80) << row.what;
+    EXPECT_EQ(refused > 0, !row.near && !row.remote) << row.what;
   }
 }
 
--- a/tests/denials_test.cc
+++ b/tests/denials_test.cc
@@ -25,9 +25,9 @@
 }
 
 // "ROUTE PREFIX SERVICE..." or "WORKSPACE: KEY...", one a line.
-struct Declared {
+struct Catalog {
   mt_catalog_t *catalog = mt_catalog_new(1);
-  explicit Declared(const std::vector<std::vector<std::string>> &lines) {
+  explicit Catalog(const std::vector<std::vector<std::string>> &lines) {
     for (auto &line : lines) {
       if (line[0].back() == ':') {
         mt_catalog_add_workspace(catalog, line[0].c_str());
@@ -40,21 +40,21 @@
       for (size_t i = 2; i < line.size(); i++)
         r->split[r->splits++] = {mtV_id(line[i].data(), line[i].size()), 1};
     }
-    mt_catalog_close(catalog);
+    mt_catalog_build_index(catalog);
   }
-  ~Declared() {
+  ~Catalog() {
     mt_catalog_free(catalog);
   }
 };
 
-struct Seen {
+struct Changes {
   std::vector<std::string> all;
   static void key (void *ud, mt_bytes_t key, bool granted) {
-    ((Seen *)ud)
+    ((Changes *)ud)
         ->all.push_back((granted ? "+" : "-") + std::string(key.p, key.n));
   }
   static void route (void *ud, mt_id_t route, mt_id_t service, bool opened) {
-    ((Seen *)ud)
+    ((Changes *)ud)
         ->all.push_back((opened ? "+" : "-") + name(route) + ">" +
                         name(service));
   }
@@ -65,12 +65,12 @@
   }
 };
 
-TEST(CatalogDiff, WhatEndsAndWhatBegins) {
+TEST(CatalogDiff, ReportsRemovedAndAddedEntries) {
   using Lines = std::vector<std::vector<std::string>>;
   struct Row {
     const char *what;
     Lines from, to;
-    std::vector<std::string> seen;
+    std::vector<std::string> changes;
   } rows[] = {{"nothing",
                {{"r", "/", "s"}, {"w:", "k"}},
                {{"r", "/", "s"}, {"w:", "k"}},
@@ -100,36 +100,37 @@
                {{"r", "/b", "s"}},
                {"+r>s", "-r>s"}}};
   for (const Row &row : rows) {
-    Declared from(row.from), to(row.to);
-    Seen seen;
-    const mt_catalog_diff_calls_t calls = {Seen::key, Seen::route, &seen};
-    mt_catalog_diff(from.catalog, to.catalog, &calls);
-    std::sort(seen.all.begin(), seen.all.end());
-    EXPECT_EQ(seen.all, row.seen) << row.what;
+    Catalog from(row.from), to(row.to);
+    Changes changes;
+    const mt_catalog_diff_callbacks_t callbacks = {Changes::key,
+                                                   Changes::route, &changes};
+    mt_catalog_diff(from.catalog, to.catalog, &callbacks);
+    std::sort(changes.all.begin(), changes.all.end());
+    EXPECT_EQ(changes.all, row.changes) << row.what;
   }
 }
 
-TEST(CatalogDiff, WhatOthersNameIsFound) {
-  Declared d({{"r", "/", "s", "t"}, {"w:", "k", "l"}});
+TEST(CatalogDiff, FindsEntriesReportedByOthers) {
+  Catalog d({{"r", "/", "s", "t"}, {"w:", "k", "l"}});
   mt_map_t digests{};
   mt_catalog_digests(d.catalog, &digests);
   struct Row {
     const char *key;
-    bool held;
+    bool present;
   } keys[] = {{"k", true}, {"l", true}, {"m", false}, {"", false}};
   for (const Row &row : keys)
     EXPECT_EQ(mtV_get(&digests, mt_catalog_digest_key(
                                     digest(row.key).c_str())) != nullptr,
-              row.held)
+              row.present)
         << row.key;
   mtV_free(&digests);
   mt_id_t r = mtV_id("r", 1), q = mtV_id("q", 1);
-  EXPECT_TRUE(mt_catalog_leads_to(d.catalog, r, mtV_id("t", 1)));
-  EXPECT_FALSE(mt_catalog_leads_to(d.catalog, r, mtV_id("u", 1)));
-  EXPECT_FALSE(mt_catalog_leads_to(d.catalog, q, mtV_id("s", 1)));
+  EXPECT_TRUE(mt_catalog_routes_to(d.catalog, r, mtV_id("t", 1)));
+  EXPECT_FALSE(mt_catalog_routes_to(d.catalog, r, mtV_id("u", 1)));
+  EXPECT_FALSE(mt_catalog_routes_to(d.catalog, q, mtV_id("s", 1)));
 }
 
-TEST(Denials, HoldUntilTheDeclarationsSayIt) {
+TEST(Denials, ApplyUntilTheirRevisionIsInForce) {
   mt_denials_t d{};
   mt_denials_set_key(&d, digest("k").c_str(), 10, true);
   mt_denials_set_key(&d, digest("l").c_str(), 20, true);
@@ -142,7 +143,7 @@
               {10, false, true, false, true},
               {20, false, false, false, false}};
   for (const Row &row : rows) {
-    mt_denials_settle(&d, row.settled);
+    mt_denials_prune(&d, row.settled);
     EXPECT_EQ(mt_denials_has_key(&d, bytes("k")), row.k) << row.settled;
     EXPECT_EQ(mt_denials_has_key(&d, bytes("l")), row.l) << row.settled;
     EXPECT_EQ(mt_denials_has_route(&d, 1, 2), row.r2) << row.settled;
@@ -151,7 +152,7 @@
   }
 }
 
-TEST(Denials, AreTakenBackAndBounded) {
+TEST(Denials, CanBeLiftedAndAreBounded) {
   mt_denials_t d{};
   mt_denials_set_key(&d, digest("k").c_str(), 10, true);
   mt_denials_set_key(&d, digest("k").c_str(), 11, false);
--- a/tests/documents_test.cc
+++ b/tests/documents_test.cc
@@ -12,7 +12,7 @@
 struct Read {
   bool usable, leaving;
   int slots;
-  int64_t born;
+  int64_t started_at;
 };
 
 Read read (const std::string &text) {
@@ -21,7 +21,7 @@
   json_t *doc = json_loadb(text.data(), text.size(), 0, nullptr);
   bool usable = mt_platform_engine(doc, "i-1", ip, &e);
   json_decref(doc);
-  return {usable, e.draining, e.slots, e.born};
+  return {usable, e.draining, e.slots, e.started_at};
 }
 
 // A whole entry, but for one member: its text instead, or nothing.
@@ -78,7 +78,7 @@
   Read good = read(entry());
   EXPECT_FALSE(good.leaving);
   EXPECT_EQ(good.slots, 64);
-  EXPECT_EQ(good.born, 1780000000000);
+  EXPECT_EQ(good.started_at, 1780000000000);
   EXPECT_TRUE(read(entry("state", "\"draining\"")).leaving);
 }
 
--- a/tests/drain_exchange_test.cc
+++ b/tests/drain_exchange_test.cc
@@ -52,7 +52,7 @@
       m->members.own_ip = 0x0a000001u + (uint32_t)i * 0x101u;
       m->members.own_domain = (mt_id_t)(1 + i % 3);
       for (int k = 0; k < engines; k++)
-        mt_engines_add(&m->engines, name(k).c_str())->born = kBorn;
+        mt_engines_add(&m->engines, name(k).c_str())->started_at = kBorn;
       open(m);
       by_ip[m->members.own_ip] = m;
     }
@@ -118,9 +118,9 @@
   static bool take (void *ud, const mt_peer_drain_t *told, uint32_t) {
     auto *m = (Member *)ud;
     mt_engine_t *e = mt_engines_get(&m->engines, told->engine);
-    const mt_engine_drain_t leave = {m->mesh->now - told->age, told->born,
-                                     true};
-    return e != nullptr && mt_engine_take_drain(e, &leave, m->mesh->now);
+    const mt_engine_drain_t leave = {m->mesh->now - told->age,
+                                     told->started_at, true};
+    return e != nullptr && mt_engine_apply_drain(e, &leave, m->mesh->now);
   }
   void pass (mt_ms_t ms) {
     for (mt_ms_t end = now + ms; now < end; now += 25) {
@@ -128,16 +128,16 @@
       for (auto &m : all) mt_drain_exchange_tick(&m->exchange);
     }
   }
-  void says (size_t member, int number, int64_t born = kBorn) {
+  void says (size_t member, int number, int64_t started_at = kBorn) {
     Member *m = all[member].get();
-    const mt_engine_drain_t leave = {now, born, false};
-    if (mt_engine_take_drain(engine(m, number), &leave, now))
+    const mt_engine_drain_t leave = {now, started_at, false};
+    if (mt_engine_apply_drain(engine(m, number), &leave, now))
       mt_drain_exchange_heard(&m->exchange, key(number));
   }
   size_t that_know (int number) {
     size_t count = 0;
     for (auto &m : all)
-      count += mt_engine_drains(engine(m.get(), number), now);
+      count += mt_engine_is_draining(engine(m.get(), number), now);
     return count;
   }
 };
@@ -185,7 +185,7 @@
 TEST(DrainExchange, OthersWordLapses) {
   Mesh mesh(12, 1);
   mesh.says(0, 0);
-  mesh.pass(MT_ENGINE_GOSSIP_MS + 1000);
+  mesh.pass(MT_ENGINE_DRAIN_GOSSIP_TTL_MS + 1000);
   EXPECT_EQ(mesh.that_know(0), 1u);
   mesh.says(4, 0);
   mesh.pass(kAimMs);
@@ -195,7 +195,7 @@
 // Word of a start that is over, told late, says nothing of the present one.
 TEST(DrainExchange, AnEarlierStartIsPassedOver) {
   Mesh mesh(6, 1);
-  for (auto &m : mesh.all) Mesh::engine(m.get(), 0)->born = kBorn + 5;
+  for (auto &m : mesh.all) Mesh::engine(m.get(), 0)->started_at = kBorn + 5;
   mesh.says(0, 0, kBorn);
   mesh.pass(kAimMs);
   EXPECT_EQ(mesh.that_know(0), 0u);
--- a/tests/engine_notices_test.cc
+++ b/tests/engine_notices_test.cc
@@ -28,11 +28,11 @@
          "\r\nX-Engine-Seal: seal-1\r\n";
 }
 
-std::string entry (const Listener *l, long born) {
+std::string entry (const Listener *l, long started_at) {
   return "{\"service\":\"plain\",\"addr\":\"127.0.0.1:" +
          std::to_string(l->port) +
          "\",\"zone\":\"d1\",\"slots\":8,\"state\":\"ready\",\"born\":" +
-         std::to_string(born) + "}";
+         std::to_string(started_at) + "}";
 }
 
 // Two engines of one service; the first says something of itself.
--- a/tests/engine_word_test.cc
+++ b/tests/engine_word_test.cc
@@ -8,33 +8,33 @@
 
 namespace {
 
-class Heard : public Relay {
+class NoticeRelay : public Relay {
 public:
   // Only the engines p1 to pN serve /again/ and /once/.
-  explicit Heard(int engines) : Relay(engines) {
+  explicit NoticeRelay(int engines) : Relay(engines) {
     declare();
   }
   void says (const std::string &engine, bool leaving, mt_ms_t rest,
-             int64_t born = 0, bool told = false, mt_ms_t age = 0) {
+             int64_t started_at = 0, bool told = false, mt_ms_t age = 0) {
     mt_relay_event_t event{};
     event.kind = MT_RELAY_NOTICE;
     event.u.notice.engine = find(engine)->key;
     event.u.notice.says = {leaving, rest};
-    event.u.notice.drain = {now - age, born, told};
+    event.u.notice.drain = {now - age, started_at, told};
     step(event);
   }
   // Another router says that an engine leaves, whether listed here or not.
-  void told_of (const std::string &engine, int64_t born) {
+  void gossip_drain (const std::string &engine, int64_t started_at) {
     mt_relay_event_t event{};
     event.kind = MT_RELAY_NOTICE;
     event.u.notice.engine = mt_engine_key(engine.data(), engine.size());
     event.u.notice.says = {true, 0};
-    event.u.notice.drain = {now, born, true};
+    event.u.notice.drain = {now, started_at, true};
     step(event);
   }
   using Relay::find;
   // The engine that a request goes to now; empty: none.
-  std::string goes_to (uint64_t number, const char *path = "/again/x") {
+  std::string placed_at (uint64_t number, const char *path = "/again/x") {
     ask(number, path);
     const mt_relay_effect_t *fx = find(MT_RELAY_DO_START, number);
     if (fx == nullptr) return "";
@@ -49,7 +49,7 @@
 
 // {== Leaving ==============================================================
 
-TEST(EngineWord, LeavingHoldsForTheStartThatSaidSo) {
+TEST(EngineDrainBackoff, DrainAppliesToTheIncarnationThatAdvertisedIt) {
   struct Row {
     const char *what;
     int64_t listed, said; // starts
@@ -67,19 +67,19 @@
       {"others heard an earlier start", 5, 4, true, 0, true},
   };
   for (const Row &row : rows) {
-    Heard r(1);
+    NoticeRelay r(1);
     mt_engine_t *e = r.find("p1");
-    e->born = row.listed;
+    e->started_at = row.listed;
     r.says("p1", true, 0, row.said, row.told);
     r.now += row.later;
-    EXPECT_EQ(mt_engine_stays(e, r.now), row.stays) << row.what;
-    EXPECT_EQ(r.goes_to(1), row.stays ? "p1" : "") << row.what;
+    EXPECT_EQ(mt_engine_is_available(e, r.now), row.stays) << row.what;
+    EXPECT_EQ(r.placed_at(1), row.stays ? "p1" : "") << row.what;
   }
 }
 
 // A router that was told of a leaving before it listed the engine dropped the
 // word, and sent requests there for seconds.
-TEST(EngineWord, ALeavingToldBeforeTheEntryHolds) {
+TEST(EngineDrainBackoff, DrainGossipedBeforeListingIsApplied) {
   struct Row {
     const char *what;
     int64_t listed, said; // starts
@@ -96,63 +96,63 @@
       {"more than are kept", 5, 5, 0, MT_EARLY_DRAINS_MAX, true},
   };
   for (const Row &row : rows) {
-    Heard r(0);
-    r.told_of("late", row.said);
+    NoticeRelay r(0);
+    r.gossip_drain("late", row.said);
     for (int i = 0; i < row.others; i++) {
       r.now++;
-      r.told_of("other" + std::to_string(i), 5);
+      r.gossip_drain("other" + std::to_string(i), 5);
     }
     EXPECT_LE(r.relay->early_drains.count, (size_t)MT_EARLY_DRAINS_MAX);
     r.now += row.later;
     mt_engine_t *e = r.engine("late", "plain", 4);
-    e->born = row.listed;
+    e->started_at = row.listed;
     mt_relay_engine_listed(r.relay, e, 0, r.now);
-    EXPECT_EQ(mt_engine_stays(e, r.now), row.stays) << row.what;
-    EXPECT_EQ(r.goes_to(1), row.stays ? "late" : "") << row.what;
+    EXPECT_EQ(mt_engine_is_available(e, r.now), row.stays) << row.what;
+    EXPECT_EQ(r.placed_at(1), row.stays ? "late" : "") << row.what;
   }
 }
 
 // What this router heard itself is not forgotten for others' older word.
-TEST(EngineWord, OwnWordOutlastsOthers) {
-  Heard r(1);
+TEST(EngineDrainBackoff, DirectDrainOutlastsGossip) {
+  NoticeRelay r(1);
   r.says("p1", true, 0, 5);
   r.says("p1", true, 0, 5, true);
   r.now += 3600000;
-  EXPECT_FALSE(mt_engine_stays(r.find("p1"), r.now));
-  Heard other(1);
+  EXPECT_FALSE(mt_engine_is_available(r.find("p1"), r.now));
+  NoticeRelay other(1);
   other.says("p1", true, 0, 5, true);
   other.says("p1", true, 0, 5);
   other.now += 3600000;
-  EXPECT_FALSE(mt_engine_stays(other.find("p1"), other.now));
+  EXPECT_FALSE(mt_engine_is_available(other.find("p1"), other.now));
 }
 
 // The list, a connection, and answers to what was sent before say nothing
 // against it.
-TEST(EngineWord, NothingButAnotherStartUndoesALeaving) {
-  Heard r(1);
+TEST(EngineDrainBackoff, OnlyARestartEndsADrain) {
+  NoticeRelay r(1);
   mt_engine_t *e = r.find("p1");
-  EXPECT_EQ(r.goes_to(1), "p1");
+  EXPECT_EQ(r.placed_at(1), "p1");
   r.sent(1);
   r.says("p1", true, 0, 5);
   e->state = MT_ENGINE_READY;
-  mt_engine_reached(e, true, r.now);
+  mt_engine_set_reachable(e, true, r.now);
   r.head(1, 200);
   r.end(1);
-  EXPECT_EQ(r.goes_to(2), "");
+  EXPECT_EQ(r.placed_at(2), "");
   EXPECT_EQ(r.refusal(), MT_RELAY_NO_ENGINE);
   mt_engine_restarted(e);
-  e->born = 6;
-  EXPECT_EQ(r.goes_to(3), "p1");
+  e->started_at = 6;
+  EXPECT_EQ(r.placed_at(3), "p1");
 }
 
 // One that gets no work for another reason still gives what it has read.
-TEST(EngineWord, NothingIsFetchedFromALeavingEngine) {
+TEST(EngineDrainBackoff, DrainingEngineIsNoFetchSource) {
   for (bool leaving : {false, true}) {
-    Heard r(2);
+    NoticeRelay r(2);
     mt_engine_t *giver = r.find("m1");
     giver->evacuated = true;
-    const mt_prefix_part_t part = {7, 500};
-    mt_prefix_cache_use(&giver->kept, &part, 1, 100000);
+    const mt_prefix_segment_t part = {7, 500};
+    mt_prefix_cache_use(&giver->cached, &part, 1, 100000);
     if (leaving) r.says("m1", true, 0);
     r.ask(1, "/stream/x");
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START, 1);
@@ -163,8 +163,8 @@
 }
 
 // An owner hands out no place at it, and no home is there.
-TEST(EngineWord, OwnersOfferNoLeavingEngine) {
-  Heard r(2);
+TEST(EngineDrainBackoff, OwnersDoNotAdmitToDrainingEngines) {
+  NoticeRelay r(2);
   uint64_t key = r.find("m1")->key;
   EXPECT_NE(mt_relay_admission(r.relay, key, true), MT_ADMIT_NONE);
   r.says("m1", true, 0);
@@ -173,9 +173,9 @@
 
 // What was chosen before and waits for a connection goes elsewhere, and that
 // costs it none of its attempts.
-TEST(EngineWord, WhatWaitsForAConnectionIsWithdrawn) {
-  Heard r(2);
-  std::string engine = r.goes_to(1, "/once/x");
+TEST(EngineDrainBackoff, UnsentRequestsMoveElsewhere) {
+  NoticeRelay r(2);
+  std::string engine = r.placed_at(1, "/once/x");
   std::string other = engine == "p1" ? "p2" : "p1";
   r.says(engine, true, 0);
   EXPECT_NE(r.find(MT_RELAY_DO_CANCEL, 1), nullptr);
@@ -187,9 +187,9 @@
   EXPECT_TRUE(r.idle());
 }
 
-TEST(EngineWord, WhatRunsThereRunsOn) {
-  Heard r(2);
-  std::string engine = r.goes_to(1);
+TEST(EngineDrainBackoff, RunningRequestsContinue) {
+  NoticeRelay r(2);
+  std::string engine = r.placed_at(1);
   r.sent(1);
   r.says(engine, true, 0);
   EXPECT_EQ(r.effects.count, 0u);
@@ -204,7 +204,7 @@
 
 // Words of an engine, each so long after the first, and when it may be tried
 // again at the earliest and at the latest, behind the first.
-TEST(EngineWord, TheLongestRestCounts) {
+TEST(EngineDrainBackoff, TheLongestBackoffApplies) {
   struct Row {
     const char *what;
     std::vector<std::pair<mt_ms_t, mt_ms_t>> words; // when, how long
@@ -218,7 +218,7 @@
       {"without end", {{0, 1000000000}}, 60000, 66000},
   };
   for (const Row &row : rows) {
-    Heard r(1);
+    NoticeRelay r(1);
     mt_ms_t begun = r.now;
     mt_engine_t *e = r.find("p1");
     for (auto &word : row.words) {
@@ -234,11 +234,11 @@
 
 // What was sent before, a connection that comes up, a failure and a mechanism
 // that is off say nothing of it.
-TEST(EngineWord, NothingEndsARestEarly) {
-  Heard r(1);
+TEST(EngineDrainBackoff, NothingEndsABackoffEarly) {
+  NoticeRelay r(1);
   mt_engine_t *e = r.find("p1");
-  EXPECT_EQ(r.goes_to(1), "p1");
-  EXPECT_EQ(r.goes_to(2), "p1");
+  EXPECT_EQ(r.placed_at(1), "p1");
+  EXPECT_EQ(r.placed_at(2), "p1");
   r.sent(1);
   r.sent(2);
   r.relay->terms.off[MT_RELAY_REST] = true;
@@ -246,61 +246,61 @@
   r.now += 100;
   r.head(1, 200);
   r.end(1);
-  mt_engine_reached(e, true, r.now);
+  mt_engine_set_reachable(e, true, r.now);
   r.head(2, 500);
   mt_engine_failed(e, r.now);
   e->state = MT_ENGINE_READY;
   r.now += 2800;
-  EXPECT_EQ(r.goes_to(3), "");
+  EXPECT_EQ(r.placed_at(3), "");
   EXPECT_EQ(r.refusal(), MT_RELAY_RESTING);
 }
 
 // Behind the rest one request goes first; the others when it was taken, or
 // was not turned away for a moment.
-TEST(EngineWord, OneRequestGoesFirst) {
-  enum class Outcome { Taken, Failed, TurnedAway, Nothing };
+TEST(EngineDrainBackoff, OneTrialRequestAfterBackoff) {
+  enum class Outcome { Accepted, Failed, Rejected, Pending };
   struct Row {
     const char *what;
     Outcome outcome;
     mt_ms_t later;
     bool open;
   } rows[] = {
-      {"under way", Outcome::Nothing, 50, false},
-      {"not turned away for a moment", Outcome::Nothing, 100, true},
-      {"taken", Outcome::Taken, 5, true},
+      {"under way", Outcome::Pending, 50, false},
+      {"not turned away for a moment", Outcome::Pending, 100, true},
+      {"taken", Outcome::Accepted, 5, true},
       {"it failed, which says nothing", Outcome::Failed, 5, false},
-      {"turned away again", Outcome::TurnedAway, 100, false},
+      {"turned away again", Outcome::Rejected, 100, false},
   };
   for (const Row &row : rows) {
-    Heard r(1);
+    NoticeRelay r(1);
     r.says("p1", false, 1000);
     r.now += 1100;
-    EXPECT_EQ(r.goes_to(1, "/once/x"), "p1") << row.what;
+    EXPECT_EQ(r.placed_at(1, "/once/x"), "p1") << row.what;
     r.sent(1);
-    EXPECT_EQ(r.goes_to(2), "") << row.what;
+    EXPECT_EQ(r.placed_at(2), "") << row.what;
     r.now += row.later;
     switch (row.outcome) {
-      case Outcome::Taken: r.head(1, 200); break;
+      case Outcome::Accepted: r.head(1, 200); break;
       case Outcome::Failed: r.head(1, 500); break;
-      case Outcome::TurnedAway:
+      case Outcome::Rejected:
         r.says("p1", false, 1000);
         r.head(1, 503, false, MT_RELAY_NOT_RUN);
         break;
-      case Outcome::Nothing: break;
+      case Outcome::Pending: break;
     }
-    EXPECT_EQ(r.goes_to(3), row.open ? "p1" : "") << row.what;
+    EXPECT_EQ(r.placed_at(3), row.open ? "p1" : "") << row.what;
   }
 }
 
 // Whom nobody can serve before a rest is over comes back behind it, and not
 // all in one moment.
-TEST(EngineWord, CallersComeBackBehindTheRest) {
-  Heard r(2);
+TEST(EngineDrainBackoff, RetryAfterIsPastTheBackoffAndSpread) {
+  NoticeRelay r(2);
   r.says("p1", false, 3000);
   r.says("p2", false, 2000);
   mt_ms_t least = 100000, most = 0;
   for (uint64_t i = 1; i <= 50; i++) {
-    EXPECT_EQ(r.goes_to(i), "");
+    EXPECT_EQ(r.placed_at(i), "");
     EXPECT_EQ(r.refusal(), MT_RELAY_RESTING);
     mt_ms_t after = r.find(MT_RELAY_DO_REFUSE, i)->u.refuse.retry_after;
     least = std::min(least, after);
@@ -312,22 +312,22 @@
 }
 
 // Whoever reads the source learns that more engines are needed.
-TEST(EngineWord, ALackIsNoted) {
-  Heard r(2);
+TEST(EngineDrainBackoff, LackOfEnginesIsRecorded) {
+  NoticeRelay r(2);
   EXPECT_EQ(r.relay->lacked, 0u);
   r.says("p1", false, 3000);
-  EXPECT_EQ(r.goes_to(1), "p2");
+  EXPECT_EQ(r.placed_at(1), "p2");
   EXPECT_EQ(r.relay->lacked, 0u);
   r.says("p2", true, 0);
-  EXPECT_EQ(r.goes_to(2), "");
+  EXPECT_EQ(r.placed_at(2), "");
   EXPECT_EQ(r.relay->lacked, r.now);
 }
 
 // Another engine that takes work is no reason to wait for a rest.
-TEST(EngineWord, ARestIsAwaitedOnlyWhereAllRest) {
-  Heard r(2);
+TEST(EngineDrainBackoff, RetryAfterIgnoresBackoffWhileAnEngineIsAvailable) {
+  NoticeRelay r(2);
   r.says("p1", false, 3000);
-  EXPECT_EQ(r.goes_to(1), "p2");
+  EXPECT_EQ(r.placed_at(1), "p2");
   r.sent(1);
   r.head(1, 503, false, MT_RELAY_NOT_RUN);
   EXPECT_EQ(r.refusal(), MT_RELAY_SHED);
@@ -335,10 +335,10 @@
 }
 
 // It is no failure: the engine is as good as before when its rest is over.
-TEST(EngineWord, AskingForRestIsNoFailure) {
-  Heard r(1);
+TEST(EngineDrainBackoff, BackoffIsNoFailure) {
+  NoticeRelay r(1);
   for (uint64_t i = 1; i <= 3; i++) {
-    EXPECT_EQ(r.goes_to(i, "/once/x"), "p1");
+    EXPECT_EQ(r.placed_at(i, "/once/x"), "p1");
     r.sent(i);
     r.says("p1", false, 1000);
     r.head(i, 503);
@@ -355,14 +355,14 @@
 //   t=136.068 node=g5 event=engine engine=i-19 outcome=asks-rest
 //   t=136.138 node=g5 event=engine engine=i-19 outcome=restarted
 //   t=136.139 node=g5 event=engine engine=i-19 outcome=asks-rest
-TEST(EngineWord, ARestOutlastsTheListOfAnotherStart) {
-  Heard r(1);
+TEST(EngineDrainBackoff, BackoffSurvivesARestart) {
+  NoticeRelay r(1);
   r.says("p1", false, 3000);
   r.now += 70;
   mt_engine_restarted(r.find("p1"));
   r.says("p1", false, 1000);
   r.now += 1200;
-  EXPECT_EQ(r.goes_to(1), "");
+  EXPECT_EQ(r.placed_at(1), "");
   EXPECT_EQ(r.refusal(), MT_RELAY_RESTING);
 }
 
--- a/tests/fair_share_test.cc
+++ b/tests/fair_share_test.cc
@@ -20,33 +20,33 @@
 namespace {
 
 // What the other routers say of workspaces, in thousands of tokens a second.
-struct Told {
+struct PeerRates {
   double asked, served;
 };
 
 // True when a request of the first of them is taken at an idle engine, of
 // engines that give so many thousands of tokens a second together.
-bool is_taken (const std::vector<Told> &told, int64_t declared) {
+bool is_admitted (const std::vector<PeerRates> &rates, int64_t declared) {
   Relay r(1);
   r.declare();
   r.relay->catalog->limits.tokens_per_s = declared * 1000;
-  for (size_t i = 0; i < told.size(); i++) {
+  for (size_t i = 0; i < rates.size(); i++) {
     std::string name = "w" + std::to_string(i + 1);
     mt_share_t *w =
         mt_fair_share_get(&r.relay->shares, mtV_id(name.data(), name.size()));
-    w->peers = {told[i].asked * 1000, told[i].served * 1000};
+    w->peers = {rates[i].asked * 1000, rates[i].served * 1000};
   }
   r.pass(200);
   r.ask(1, "/stream/x", "key-w1");
   return r.find(MT_RELAY_DO_START, 1) != nullptr;
 }
 
-TEST(FairShareRoom, NobodyGetsFarMoreThanWhoIsBacklogged) {
-  const Told some = {100, 5.25}, much = {100, 15.25}, all = {5.25, 5.25};
+TEST(FairShareAdmission, RefusesWorkspacesFarAboveABackloggedOne) {
+  const PeerRates some = {100, 5.25}, much = {100, 15.25}, all = {5.25, 5.25};
   struct Row {
     const char *what;
-    Told who, others;
-    bool taken;
+    PeerRates who, others;
+    bool admitted;
   } rows[] = {
       {"far more than others, who want more", {100, 29}, some, false},
       {"more than others, who want more", {100, 14}, much, true},
@@ -56,9 +56,9 @@
   };
   for (const Row &row : rows)
     EXPECT_EQ(
-        is_taken({row.who, row.others, row.others, row.others, row.others},
-                 50),
-        row.taken)
+        is_admitted({row.who, row.others, row.others, row.others, row.others},
+                    50),
+        row.admitted)
         << row.what;
 }
 
@@ -66,23 +66,24 @@
 // there, are no reason to leave engines idle for who has its share. Where it
 // is not told what engines give, shares go by what was served: there a bound
 // would fall with what it refuses.
-TEST(FairShareRoom, WhoHasItsShareIsNotHeldBack) {
-  EXPECT_TRUE(is_taken({{100, 15}, {100, 0}}, 15));
-  EXPECT_TRUE(is_taken({{100, 12}, {100, 12}, {100, 0}}, 24));
-  EXPECT_TRUE(is_taken({{100, 29}, {100, 1}, {100, 1}}, 0));
+TEST(FairShareAdmission, AdmitsWorkspacesAtTheirShare) {
+  EXPECT_TRUE(is_admitted({{100, 15}, {100, 0}}, 15));
+  EXPECT_TRUE(is_admitted({{100, 12}, {100, 12}, {100, 0}}, 24));
+  EXPECT_TRUE(is_admitted({{100, 29}, {100, 1}, {100, 1}}, 0));
 }
 
 // Datagrams come from anybody: workspaces that they named were kept for good.
-TEST(FairShareMemory, NamesFromDatagramsAreBoundedAndForgotten) {
+TEST(FairShareTable, WorkspacesNamedByPeersAreBoundedAndExpire) {
   mt_fair_share_t shares{};
-  mt_fair_share_asked(&shares, 1, 1000);
-  for (mt_id_t id = 2; id < 3 * MT_FAIR_SHARE_MOST; id++) {
+  mt_fair_share_record_demand(&shares, 1, 1000);
+  for (mt_id_t id = 2; id < 3 * MT_FAIR_SHARE_WORKSPACES_MAX; id++) {
     mt_share_t *w = mt_fair_share_of_peer(&shares, id);
     if (w != nullptr) w->peers = {100, 0};
   }
-  EXPECT_EQ(shares.count, (size_t)MT_FAIR_SHARE_MOST);
+  EXPECT_EQ(shares.count, (size_t)MT_FAIR_SHARE_WORKSPACES_MAX);
   EXPECT_NE(mt_fair_share_of_peer(&shares, 2), nullptr) << "known";
-  EXPECT_NE(mt_fair_share_get(&shares, 9 * MT_FAIR_SHARE_MOST), nullptr)
+  EXPECT_NE(mt_fair_share_get(&shares, 9 * MT_FAIR_SHARE_WORKSPACES_MAX),
+            nullptr)
       << "a caller's own";
   for (size_t i = 0; i < shares.count; i++) shares.list[i]->peers = {0, 0};
   mt_fair_share_update(&shares, 0, 0);
--- a/tests/far_round_test.cc
+++ b/tests/far_round_test.cc
@@ -37,19 +37,20 @@
     std::string name = "d" + std::to_string(domain);
     e->domain = strdup(name.c_str());
     e->domain_id = mtV_id(name.data(), name.size());
-    e->far = domain != 1;
+    e->remote = domain != 1;
   }
   mt_id_t domain_of (uint64_t key) {
     return mt_engines_get(&relay->engines, key)->domain_id;
   }
-  // The owners that were asked answer; `near`, `far`: unread at engines.
-  void answer (uint64_t number, int64_t near, int64_t far, int running = 0) {
+  // The owners that were asked answer; `near`, `remote`: unread at engines.
+  void answer (uint64_t number, int64_t near, int64_t remote,
+               int running = 0) {
     std::vector<mt_relay_quote_t> quotes;
     for (uint64_t key : asked(number)) {
-      bool away = mt_engines_get(&relay->engines, key)->far;
+      bool away = mt_engines_get(&relay->engines, key)->remote;
       mt_relay_quote_t quote{};
       quote.engine = key;
-      quote.peers = {away ? far : near, 0, away ? 0 : running};
+      quote.peers = {away ? remote : near, 0, away ? 0 : running};
       quotes.push_back(quote);
     }
     mt_relay_event_t event{};
@@ -74,8 +75,8 @@
   std::vector<uint64_t> first = w.asked(1);
   ASSERT_EQ(first.size(), 2u);
   EXPECT_NE(w.domain_of(first[0]), w.domain_of(first[1]));
-  EXPECT_TRUE(mt_engines_get(&w.relay->engines, first[0])->far);
-  EXPECT_TRUE(mt_engines_get(&w.relay->engines, first[1])->far);
+  EXPECT_TRUE(mt_engines_get(&w.relay->engines, first[0])->remote);
+  EXPECT_TRUE(mt_engines_get(&w.relay->engines, first[1])->remote);
   // All requests with the same shared part ask the same engines, unless one
   // of them, the home of all, was asked in the first round.
   Fleet other;
@@ -118,7 +119,7 @@
 TEST(FarRound, ADomainThatWasFullIsLeftAlone) {
   struct Row {
     const char *what;
-    int64_t unread; // at its engines, as told
+    int64_t pending_prefill; // at its engines, as told
     mt_ms_t ago;
     bool asked;
   } rows[] = {{"it was full just now", full, 0, false},
@@ -130,11 +131,11 @@
     w.ask(1, "/stream/x");
     w.relay->now = w.now - row.ago;
     for (int i : {5, 9}) {
-      const mt_engine_load_t load = {row.unread, 0, 0};
+      const mt_engine_load_t load = {row.pending_prefill, 0, 0};
       mt_domain_loads_learn(w.relay, w.m(i), &load);
     }
     // The home of all may be abroad; it says the same.
-    w.answer(1, full, row.unread);
+    w.answer(1, full, row.pending_prefill);
     EXPECT_EQ(!w.asked(1).empty(), row.asked) << row.what;
     EXPECT_EQ(w.refusal() != MT_RELAY_REFUSAL_COUNT, !row.asked) << row.what;
   }
@@ -190,12 +191,13 @@
   const mt_engine_load_t load = {1000, 0, 0}, none = {0, 0, 0};
   w.relay->now = 5;
   mt_domain_loads_learn(w.relay, w.m(5), &load);
-  EXPECT_DOUBLE_EQ(mt_domain_loads_get(w.relay, w.m(6))->unread, 1000);
+  EXPECT_DOUBLE_EQ(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill,
+                   1000);
   EXPECT_EQ(mt_domain_loads_get(w.relay, w.m(9))->told, 0u);
   w.relay->now = 9;
   mt_domain_loads_learn(w.relay, w.m(7), &none);
-  EXPECT_LT(mt_domain_loads_get(w.relay, w.m(6))->unread, 1000);
-  EXPECT_GT(mt_domain_loads_get(w.relay, w.m(6))->unread, 500);
+  EXPECT_LT(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill, 1000);
+  EXPECT_GT(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill, 500);
   EXPECT_EQ(mt_domain_loads_get(w.relay, w.m(6))->told, 9u);
   // Any number of domains and services harms nothing.
   mt_engine_t *e = w.m(9);
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -702,7 +702,7 @@
     ASSERT_TRUE(w.until([&] { return World::whole(c->in); })) << i;
   }
   EXPECT_EQ(World::status_of(c->in), 200);
-  close(w.unread);
+  close(w.pending_prefill);
 }
 
 TEST(Gateway, ReadsCallersByTheRules) {
--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -461,11 +461,11 @@
     metrics = port("metrics=");
     ASSERT_TRUE(until([&] { return ask_ready() == 200; }));
     if (!keep_log) { // nobody reads it any more, nor is it closed
-      unread = out;
+      pending_prefill = out;
       out = -1;
     }
   }
-  int unread = -1;
+  int pending_prefill = -1;
   int port (const std::string &name) {
     size_t at = log.find(name);
     at = log.find(':', at) + 1;
--- a/tests/mechanism_test.cc
+++ b/tests/mechanism_test.cc
@@ -40,20 +40,20 @@
 }
 
 TEST(Mechanisms, WhatIsOffIsNotUsed) {
-  const mt_prefix_part_t part = {7, 4000};
+  const mt_prefix_segment_t part = {7, 4000};
   for (bool off : {false, true}) {
     Relay r(2);
     r.declare();
     r.relay->terms.off[MT_RELAY_FETCH] = off;
     mt_engine_t *owner = r.find("m1");
-    mt_prefix_cache_use(&owner->kept, &part, 1, 100000);
-    owner->here.unread = 100000;
+    mt_prefix_cache_use(&owner->cached, &part, 1, 100000);
+    owner->local.pending_prefill = 100000;
     r.ask(1, "/stream/x", "key-w1", 5000, 8000);
     EXPECT_EQ(r.find(MT_RELAY_DO_START)->u.start.source,
               off ? 0 : owner->key);
-    owner->here.unread = 0;
+    owner->local.pending_prefill = 0;
     r.relay->terms.off[MT_RELAY_PROBE] = off;
-    mt_engine_reached(owner, false, r.now);
+    mt_engine_set_reachable(owner, false, r.now);
     r.pass(1100); // less with the effect of a probe
     EXPECT_EQ(r.find(MT_RELAY_DO_PROBE) != nullptr, !off);
     EXPECT_EQ(owner->unreachable, !off);
--- a/tests/part_holders_test.cc
+++ b/tests/part_holders_test.cc
@@ -10,40 +10,40 @@
 
 namespace {
 
-TEST(PartHolders, TheLastOneCountsForAWhile) {
-  mt_part_holders_t h{};
-  mt_part_holders_note(&h, 7, 100, 1000);
-  mt_part_holders_note(&h, 7, 200, 2000);
-  mt_part_holders_note(&h, 8, 300, 20000);
-  mt_part_holders_note(&h, 0, 300, 20000); // no part
-  EXPECT_EQ(mt_part_holders_find(&h, 7), 200u);
-  EXPECT_EQ(mt_part_holders_find(&h, 9), 0u);
-  mt_part_holders_expire(&h, 31000);
-  EXPECT_EQ(mt_part_holders_find(&h, 7), 200u);
-  mt_part_holders_expire(&h, 33000);
-  EXPECT_EQ(mt_part_holders_find(&h, 7), 0u);
-  EXPECT_EQ(mt_part_holders_find(&h, 8), 300u);
-  mt_part_holders_free(&h);
+TEST(PrefixHolders, ReturnsTheLastHolderUntilExpiry) {
+  mt_prefix_holders_t h{};
+  mt_prefix_holders_set(&h, 7, 100, 1000);
+  mt_prefix_holders_set(&h, 7, 200, 2000);
+  mt_prefix_holders_set(&h, 8, 300, 20000);
+  mt_prefix_holders_set(&h, 0, 300, 20000); // no part
+  EXPECT_EQ(mt_prefix_holders_find(&h, 7), 200u);
+  EXPECT_EQ(mt_prefix_holders_find(&h, 9), 0u);
+  mt_prefix_holders_expire(&h, 31000);
+  EXPECT_EQ(mt_prefix_holders_find(&h, 7), 200u);
+  mt_prefix_holders_expire(&h, 33000);
+  EXPECT_EQ(mt_prefix_holders_find(&h, 7), 0u);
+  EXPECT_EQ(mt_prefix_holders_find(&h, 8), 300u);
+  mt_prefix_holders_free(&h);
 }
 
-TEST(PartHolders, AnyNumberOfPartsIsBounded) {
-  mt_part_holders_t h{};
+TEST(PrefixHolders, NumberOfSegmentsIsBounded) {
+  mt_prefix_holders_t h{};
   for (uint64_t part = 1; part <= 100000; part++)
-    mt_part_holders_note(&h, part, 5, 1000);
-  EXPECT_LE(h.by_part.used, 65536u);
-  EXPECT_EQ(mt_part_holders_find(&h, 1), 5u);
-  mt_part_holders_note(&h, 1, 6, 1000); // known ones still move
-  EXPECT_EQ(mt_part_holders_find(&h, 1), 6u);
-  mt_part_holders_expire(&h, 1000000);
-  EXPECT_EQ(h.by_part.used, 0u);
-  mt_part_holders_free(&h);
+    mt_prefix_holders_set(&h, part, 5, 1000);
+  EXPECT_LE(h.by_segment.used, 65536u);
+  EXPECT_EQ(mt_prefix_holders_find(&h, 1), 5u);
+  mt_prefix_holders_set(&h, 1, 6, 1000); // known ones still move
+  EXPECT_EQ(mt_prefix_holders_find(&h, 1), 6u);
+  mt_prefix_holders_expire(&h, 1000000);
+  EXPECT_EQ(h.by_segment.used, 0u);
+  mt_prefix_holders_free(&h);
 }
 
 // m3 read the part, which neither m1 nor m2 keeps; m1's owner says so.
-TEST(PartHolders, AHolderThatAOwnerNamesGives) {
+TEST(PrefixHolders, HolderNamedByOwnerIsFetchSource) {
   struct Row {
     const char *what;
-    bool told, gone, off, fetched;
+    bool named, gone, off, fetched;
   } rows[] = {{"nobody says", false, false, false, false},
               {"its owner says", true, false, false, true},
               {"the holder is gone", true, true, false, false},
@@ -54,7 +54,7 @@
     r.relay->routers = 2;
     r.relay->terms.off[MT_RELAY_HOLDERS] = row.off;
     mt_engine_t *holder = r.find("m3");
-    holder->here.unread = 200000;
+    holder->local.pending_prefill = 200000;
     r.ask(1, "/stream/x", "key-w1", 5000, 8000);
     ASSERT_NE(r.find(MT_RELAY_DO_ASK), nullptr) << row.what;
     if (row.gone) holder->state = MT_ENGINE_GONE;
@@ -62,7 +62,7 @@
     for (const char *name : {"m1", "m2", "m3"}) {
       mt_relay_quote_t q{};
       q.engine = r.find(name)->key;
-      if (row.told) q.holder = holder->key;
+      if (row.named) q.holder = holder->key;
       quotes.push_back(q);
     }
     mt_relay_event_t event{};
@@ -75,16 +75,16 @@
     ASSERT_NE(fx, nullptr) << row.what;
     EXPECT_NE(fx->u.start.engine, holder->key) << row.what;
     EXPECT_EQ(fx->u.start.source, row.fetched ? holder->key : 0) << row.what;
-    holder->here.unread = 0;
+    holder->local.pending_prefill = 0;
   }
 }
 
-TEST(PartHolders, OnlyWhatWasReadAwayFromHomeIsNews) {
+TEST(PrefixHolders, ReportsOnlySharedSegmentsComputedAwayFromHome) {
   struct Row {
     const char *what;
     bool home;
-    int64_t unread; // of 4,000 shared and 1,000 own tokens
-    bool news;
+    int64_t pending_prefill; // of 4,000 shared and 1,000 own tokens
+    bool report;
   } rows[] = {{"shared parts were read away", false, 5000, true},
               {"only the own part", false, 1000, false},
               {"at home", true, 5000, false}};
@@ -94,20 +94,21 @@
     r.parts[1] = {9, 1000};
     r.parts_count = 2;
     r.home = row.home;
-    r.unread = row.unread;
-    EXPECT_EQ(mt_prompt_memory_is_news(&r), row.news) << row.what;
+    r.pending_prefill = row.pending_prefill;
+    EXPECT_EQ(mt_kv_cache_should_report(&r), row.report) << row.what;
   }
 }
 
-TEST(PartHolders, AOwnerNamesTheHolder) {
+TEST(PrefixHolders, OwnerNamesTheHolder) {
   Relay r(2);
   r.declare();
-  const mt_prefix_part_t parts[] = {{11, 300}, {13, 200}};
+  const mt_prefix_segment_t parts[] = {{11, 300}, {13, 200}};
   uint64_t home = r.find("m1")->key, other = r.find("m2")->key;
   EXPECT_EQ(mt_relay_quote(r.relay, home, 5, parts, 2).holder, 0u);
-  mt_part_holders_note(&r.relay->holders, 11, other, r.now);
+  mt_prefix_holders_set(&r.relay->holders, 11, other, r.now);
   EXPECT_EQ(mt_relay_quote(r.relay, home, 5, parts, 2).holder, other);
-  mt_part_holders_note(&r.relay->holders, 11, home, r.now); // itself: no news
+  mt_prefix_holders_set(&r.relay->holders, 11, home,
+                        r.now); // itself: no news
   EXPECT_EQ(mt_relay_quote(r.relay, home, 5, parts, 2).holder, 0u);
 }
 
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -59,7 +59,7 @@
     }
     in->suspects[in->suspects_count++] = {
         41, 3, {{55, 10, true}, {56, 5, false}}, 2, 4, 1, 900, 1800000};
-    in->word = {MT_WORD_ENDED, 41, 99, 1234567, true, 30, 6000};
+    in->word = {MT_SUSPECT_MESSAGE_ENDED, 41, 99, 1234567, true, 30, 6000};
     in->verdict = MT_TRIAL_BUSY;
     size_t n = mt_peer_message_pack(in.get(), bytes, sizeof bytes);
     ASSERT_GT(n, 0u);
@@ -77,8 +77,8 @@
     EXPECT_EQ(row.earlier, 4);
     EXPECT_EQ(row.earlier_alone, 1);
     EXPECT_EQ(row.age, 900u);
-    EXPECT_EQ(row.rest, 1800000u);
-    EXPECT_EQ(out->word.kind, MT_WORD_ENDED);
+    EXPECT_EQ(row.expires_in, 1800000u);
+    EXPECT_EQ(out->word.kind, MT_SUSPECT_MESSAGE_ENDED);
     EXPECT_EQ(out->word.digest, 41u);
     EXPECT_EQ(out->word.engine, 99u);
     EXPECT_EQ(out->word.request, 1234567u);
@@ -104,7 +104,7 @@
     ASSERT_EQ(out->drains_count, leaving ? 1u : 0u);
     if (leaving) {
       EXPECT_EQ(out->drains[0].engine, 99u);
-      EXPECT_EQ(out->drains[0].born, 1780000000000);
+      EXPECT_EQ(out->drains[0].started_at, 1780000000000);
       EXPECT_EQ(out->drains[0].age, 700u);
     } else {
       EXPECT_EQ(out->engines[0].load.running, 3);
@@ -290,17 +290,17 @@
 TEST(Membership, AllAgreeOnOwnersWithinTheFailureDomain) {
   for (int count : {6, 58, 300}) {
     Fleet fleet(count, 5);
-    std::map<uint32_t, int> kept;
+    std::map<uint32_t, int> cached;
     for (uint64_t engine = 1; engine <= 500; engine++) {
       mt_id_t domain = (mt_id_t)(1 + engine % 5);
       uint32_t owner = mt_membership_owner(&fleet.routers[0], engine, domain);
-      kept[owner]++;
+      cached[owner]++;
       for (mt_membership_t &m : fleet.routers)
         ASSERT_EQ(mt_membership_owner(&m, engine, domain), owner);
       for (mt_membership_t &m : fleet.routers)
         EXPECT_TRUE(m.own_ip != owner || m.own_domain == domain);
     }
-    for (auto &k : kept)
+    for (auto &k : cached)
       EXPECT_LE(k.second, 500 / count * 3 + 12); // evenly, about
   }
 }
@@ -388,47 +388,49 @@
 // Datagrams come from anybody: loads were kept for any engine that they
 // named.
 TEST(LoadBook, EnginesFromDatagramsAreBounded) {
-  mt_load_book_t book{};
+  mt_load_table_t book{};
   mt_load_row_t row{};
   row.router = 1;
   row.load.running = 1;
   row.valid_until = 2;
   for (uint64_t engine = 1; engine <= 40000; engine++)
-    mt_load_book_take(&book, engine, &row);
+    mt_load_table_set(&book, engine, &row);
   EXPECT_LE(book.engines.used, 16384u);
-  EXPECT_EQ(mt_load_book_sum(&book, 1, 0, 1).running, 1) << "the first stays";
-  mt_load_book_expire(&book, 2);
+  EXPECT_EQ(mt_load_table_sum(&book, 1, 0, 1).running, 1)
+      << "the first stays";
+  mt_load_table_expire(&book, 2);
   EXPECT_EQ(book.engines.used, 0u);
-  mt_load_book_free(&book);
+  mt_load_table_free(&book);
 }
 
 TEST(LoadBook, SumsWhatOthersHave) {
-  mt_load_book_t book{};
+  mt_load_table_t book{};
   mt_load_row_t a{}, b{};
   a.router = 1;
   a.load = {100, 200, 3};
-  a.read = 1000;
+  a.tokens_processed = 1000;
   a.valid_until = 50;
   b.router = 2;
   b.load = {10, 20, 1};
   b.valid_until = 90;
-  EXPECT_EQ(mt_load_book_take(&book, 7, &a), 0); // the first tells nothing
-  a.read = 1500;
-  EXPECT_EQ(mt_load_book_take(&book, 7, &a), 500);
-  a.read = 100; // it was started anew
-  EXPECT_EQ(mt_load_book_take(&book, 7, &a), 0);
-  mt_load_book_take(&book, 7, &b);
-  mt_load_book_take(&book, 8, &b);
-  EXPECT_EQ(mt_load_book_sum(&book, 7, 0, 40).unread, 110);
-  EXPECT_EQ(mt_load_book_sum(&book, 7, 1, 40).unread, 10);
-  EXPECT_EQ(mt_load_book_sum(&book, 7, 2, 40).running, 3);
-  EXPECT_EQ(mt_load_book_sum(&book, 9, 0, 40).held, 0);
-  EXPECT_EQ(mt_load_book_sum(&book, 7, 0, 60).unread, 10); // a: too old
-  mt_load_book_expire(&book, 60);
-  EXPECT_EQ(mt_load_book_sum(&book, 7, 0, 40).unread, 10);
-  mt_load_book_expire(&book, 100);
+  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 0); // the first tells nothing
+  a.tokens_processed = 1500;
+  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 500);
+  a.tokens_processed = 100; // it was started anew
+  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 0);
+  mt_load_table_set(&book, 7, &b);
+  mt_load_table_set(&book, 8, &b);
+  EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 40).pending_prefill, 110);
+  EXPECT_EQ(mt_load_table_sum(&book, 7, 1, 40).pending_prefill, 10);
+  EXPECT_EQ(mt_load_table_sum(&book, 7, 2, 40).running, 3);
+  EXPECT_EQ(mt_load_table_sum(&book, 9, 0, 40).held, 0);
+  EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 60).pending_prefill,
+            10); // a: too old
+  mt_load_table_expire(&book, 60);
+  EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 40).pending_prefill, 10);
+  mt_load_table_expire(&book, 100);
   EXPECT_EQ(book.engines.used, 0u);
-  mt_load_book_free(&book);
+  mt_load_table_free(&book);
 }
 
 struct Told {
@@ -440,7 +442,7 @@
                     size_t count) {
     for (size_t i = 0; i < count; i++) {
       ((Told *)ud)->rows[to].push_back(engines[i]->key);
-      engines[i]->untold = false;
+      engines[i]->load_dirty = false;
       engines[i]->told = 1000;
     }
   }
@@ -460,9 +462,9 @@
   for (auto &to : told.rows)
     for (uint64_t key : to.second) EXPECT_EQ(key % 2 + 1, to.first);
   told.rows.clear();
-  engines.list[0]->here.running = 1;
+  engines.list[0]->local.running = 1;
   mt_engine_load_changed(engines.list[0]);
-  engines.list[0]->untold = false; // its owner was told at once
+  engines.list[0]->load_dirty = false; // its owner was told at once
   mt_load_teller_tick(&teller, &engines, 1100, &calls);
   EXPECT_TRUE(told.rows.empty());
   mt_load_teller_tick(&teller, &engines, 2000, &calls);
@@ -481,17 +483,17 @@
     for (int i = 0; i < count; i++)
       mt_engines_add(&engines, std::to_string(i).c_str());
     for (size_t i = 0; i < 10; i++) mt_engine_load_changed(engines.list[i]);
-    mt_engine_reached(engines.list[20], false, 1000);
-    engines.list[0]->here.running = 1;
+    mt_engine_set_reachable(engines.list[20], false, 1000);
+    engines.list[0]->local.running = 1;
     mt_load_teller_tick(&teller, &engines, 1000, &calls);
-    EXPECT_EQ(engines.attended_count, 11u) << count;
+    EXPECT_EQ(engines.active_count, 11u) << count;
     mt_load_teller_tick(&teller, &engines, 1100, &calls);
-    EXPECT_EQ(engines.attended_count, 2u) << count; // runs; out of reach
+    EXPECT_EQ(engines.active_count, 2u) << count; // runs; out of reach
     mt_engines_remove(&engines, engines.list[20]);
     mt_engines_remove(&engines, engines.list[0]);
-    EXPECT_EQ(engines.attended_count, 0u) << count;
+    EXPECT_EQ(engines.active_count, 0u) << count;
     for (size_t i = 0; i < engines.count; i++)
-      ASSERT_EQ(engines.list[i]->place, i);
+      ASSERT_EQ(engines.list[i]->list_index, i);
     mt_load_teller_free(&teller);
     mt_engines_free(&engines);
   }
@@ -520,12 +522,12 @@
   w.step(event);
 }
 
-mt_relay_quote_t quote_of (uint64_t engine, int64_t unread,
-                           int64_t kept = 0) {
+mt_relay_quote_t quote_of (uint64_t engine, int64_t pending_prefill,
+                           int64_t cached = 0) {
   mt_relay_quote_t q{};
   q.engine = engine;
-  q.peers.unread = unread;
-  q.kept = kept;
+  q.peers.pending_prefill = pending_prefill;
+  q.cached = cached;
   return q;
 }
 
@@ -556,7 +558,7 @@
   std::vector<uint64_t> keys = asked(w, 1);
   std::vector<mt_relay_quote_t> quotes;
   for (uint64_t key : keys) quotes.push_back(quote_of(key, 200));
-  quotes[3].kept = 4000;
+  quotes[3].cached = 4000;
   quote(w, 1, quotes);
   ASSERT_NE(w.find(MT_RELAY_DO_START, 1), nullptr);
   EXPECT_EQ(w.find(MT_RELAY_DO_START, 1)->u.start.engine, keys[3]);
@@ -577,7 +579,7 @@
 TEST(RelayQuotes, OwnersAreAskedOnceThenItIsDecided) {
   struct Row {
     const char *what;
-    int64_t unread; // at every engine that was asked for
+    int64_t pending_prefill; // at every engine that was asked for
     bool taken;
   } rows[] = {{"room at them", 0, true}, {"none", 500000, false}};
   for (const Row &row : rows) {
@@ -588,7 +590,8 @@
     std::vector<uint64_t> first = asked(w, 1);
     EXPECT_EQ(first.size(), (size_t)MT_RELAY_ROUND_MAX);
     std::vector<mt_relay_quote_t> quotes;
-    for (uint64_t key : first) quotes.push_back(quote_of(key, row.unread));
+    for (uint64_t key : first)
+      quotes.push_back(quote_of(key, row.pending_prefill));
     quote(w, 1, quotes);
     EXPECT_TRUE(asked(w, 1).empty()) << row.what;
     EXPECT_EQ(w.find(MT_RELAY_DO_START) != nullptr, row.taken) << row.what;
@@ -600,8 +603,8 @@
 TEST(RelayQuotes, OtherFailureDomainsAreAskedWhenTheOwnHasNoRoom) {
   struct Row {
     const char *what;
-    int64_t near, far; // unread at every engine there
-    bool off;          // the second round
+    int64_t near, remote; // unread at every engine there
+    bool off;             // the second round
     bool taken;
   } rows[] = {{"room here", 0, 0, false, true},
               {"room elsewhere", 500000, 0, false, true},
@@ -613,11 +616,11 @@
     w.relay->routers = 2;
     w.relay->terms.cross_ms = 15;
     w.relay->terms.off[MT_RELAY_FAR_ROUND] = row.off;
-    std::set<uint64_t> far;
+    std::set<uint64_t> remote;
     for (int i = 1; i <= 16; i++) {
       mt_engine_t *e = w.find("m" + std::to_string(i));
-      e->far = i > 8;
-      if (i > 8) far.insert(e->key);
+      e->remote = i > 8;
+      if (i > 8) remote.insert(e->key);
     }
     w.ask(1, "/stream/x");
     size_t told = 0, rounds = 0;
@@ -626,16 +629,17 @@
       std::vector<mt_relay_quote_t> quotes;
       size_t abroad = 0;
       for (; told < keys.size(); told++) {
-        bool is_far = far.count(keys[told]) > 0;
+        bool is_far = remote.count(keys[told]) > 0;
         abroad += is_far;
-        quotes.push_back(quote_of(keys[told], is_far ? row.far : row.near));
+        quotes.push_back(
+            quote_of(keys[told], is_far ? row.remote : row.near));
       }
       // At first the own domain's, and the engine that is home for all.
       EXPECT_TRUE(rounds == 0 ? abroad <= 1 : abroad == quotes.size());
       rounds++;
       // Room at the home for all would be room elsewhere: not in this test.
       if (rounds == 1)
-        for (mt_relay_quote_t &q : quotes) q.peers.unread = row.near;
+        for (mt_relay_quote_t &q : quotes) q.peers.pending_prefill = row.near;
       quote(w, 1, quotes);
       keys = asked(w, 1);
     }
@@ -687,24 +691,24 @@
   Relay w(1);
   w.declare();
   mt_engine_t *e = w.find("m1");
-  const mt_prefix_part_t parts[] = {{11, 300}, {13, 200}};
+  const mt_prefix_segment_t parts[] = {{11, 300}, {13, 200}};
   mt_load_row_t row{};
   row.router = 5;
   row.load = {700, 50, 2};
   row.valid_until = w.now + 1000;
   w.relay->now = w.now;
   mt_relay_heard_load(w.relay, e->key, &row, parts, 2);
-  e->here = {30, 0, 1};
+  e->local = {30, 0, 1};
   mt_relay_quote_t own = mt_relay_quote(w.relay, e->key, 0, parts, 2);
-  EXPECT_EQ(own.peers.unread, 700);
-  EXPECT_EQ(own.kept, 500);
+  EXPECT_EQ(own.peers.pending_prefill, 700);
+  EXPECT_EQ(own.cached, 500);
   mt_relay_quote_t other = mt_relay_quote(w.relay, e->key, 5, parts, 1);
-  EXPECT_EQ(other.peers.unread, 30);
+  EXPECT_EQ(other.peers.pending_prefill, 30);
   EXPECT_EQ(other.peers.running, 1);
-  EXPECT_EQ(other.kept, 300);
+  EXPECT_EQ(other.cached, 300);
   mt_relay_quote_t third = mt_relay_quote(w.relay, e->key, 6, parts, 0);
-  EXPECT_EQ(third.peers.unread, 730);
-  e->here = {};
+  EXPECT_EQ(third.peers.pending_prefill, 730);
+  e->local = {};
 }
 
 TEST(RelayShares, WhatDidNotRunIsNotServed) {
@@ -738,8 +742,8 @@
     w.sent(1);
     row.end(w);
     mt_share_t *share = mt_fair_share_get(&w.relay->shares, mtV_id("w1", 2));
-    EXPECT_EQ(share->here.served > 1, row.served) << row.name;
-    EXPECT_GT(share->here.asked, 1) << row.name;
+    EXPECT_EQ(share->local.served > 1, row.served) << row.name;
+    EXPECT_GT(share->local.asked, 1) << row.name;
   }
 }
 
