--- a/tests/prompt_memory_test.cc
+++ b/tests/prompt_memory_test.cc
@@ -6,23 +6,23 @@
 
 namespace {
 
-const mt_prefix_part_t shared_part = {7, 4000};
+const mt_prefix_segment_t shared_segment = {7, 4000};
 
 // Makes an engine keep the part that others share, as its books say.
-void keep (Relay &r, mt_engine_t *e) {
-  mt_prefix_cache_use(&e->kept, &shared_part, 1, 100000);
+void cache_shared_segment (Relay &r, mt_engine_t *e) {
+  mt_prefix_cache_use(&e->cached, &shared_segment, 1, 100000);
 }
 
-mt_catalog_service_t *model_of (Relay &r) {
+mt_catalog_service_t *model_service (Relay &r) {
   return &r.relay->catalog->services[1];
 }
 
 // A request for 8,000 tokens, of which 4,000 are the shared part; m1 keeps
 // that, but has so much to do that no request waits for it.
-TEST(PromptMemory, WhoMayGive) {
+TEST(KvCache, FetchSources) {
   struct Row {
     const char *what;
-    void (*change)(Relay &r, mt_engine_t *owner);
+    void (*change)(Relay &r, mt_engine_t *source_engine);
     bool fetched;
   } rows[] = {
       {"a ready engine", [] (Relay &, mt_engine_t *) {}, true},
@@ -34,41 +34,46 @@
       {"one that has just failed",
        [] (Relay &r, mt_engine_t *e) { mt_engine_failed(e, r.now); }, false},
       {"one that left the list without a word",
-       [] (Relay &r, mt_engine_t *e) { e->vanished = r.now; }, false},
+       [] (Relay &r, mt_engine_t *e) { e->unlisted_since = r.now; }, false},
       {"engines that move nothing",
-       [] (Relay &r, mt_engine_t *) { model_of(r)->moves = false; }, false},
+       [] (Relay &r, mt_engine_t *) {
+         model_service(r)->kv_transfer = false;
+       },
+       false},
       {"one of another service",
        [] (Relay &, mt_engine_t *e) { e->service = mtV_id("plain", 5); },
        false},
       {"a link so slow that reading is faster",
-       [] (Relay &r, mt_engine_t *) { model_of(r)->link_mbps = 10; }, false},
+       [] (Relay &r, mt_engine_t *) { model_service(r)->link_mbps = 10; },
+       false},
   };
   for (const Row &row : rows) {
     Relay r(2);
     r.declare();
-    mt_engine_t *owner = r.find("m1");
-    keep(r, owner);
-    owner->here.unread = 100000;
-    row.change(r, owner);
+    mt_engine_t *source_engine = r.find("m1");
+    cache_shared_segment(r, source_engine);
+    source_engine->local.pending_prefill = 100000;
+    row.change(r, source_engine);
     r.ask(1, "/stream/x", "key-w1", 5000, 8000);
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
     ASSERT_NE(fx, nullptr) << row.what;
     EXPECT_EQ(fx->u.start.engine, r.find("m2")->key) << row.what;
-    EXPECT_EQ(fx->u.start.source, row.fetched ? owner->key : 0) << row.what;
+    EXPECT_EQ(fx->u.start.source, row.fetched ? source_engine->key : 0)
+        << row.what;
     EXPECT_EQ(r.relay->counters.tokens_fetched, row.fetched ? 4000u : 0u)
         << row.what;
     // What was moved is not read: it is no load.
-    EXPECT_EQ(r.find("m2")->here.unread, row.fetched ? 4000 : 8000)
+    EXPECT_EQ(r.find("m2")->local.pending_prefill, row.fetched ? 4000 : 8000)
         << row.what;
-    owner->here.unread = 0;
+    source_engine->local.pending_prefill = 0;
   }
 }
 
-TEST(PromptMemory, NothingIsMovedToWhoKeepsIt) {
+TEST(KvCache, NoFetchToAnEngineThatCachesTheSegment) {
   Relay r(2);
   r.declare();
-  keep(r, r.find("m1"));
-  keep(r, r.find("m2"));
+  cache_shared_segment(r, r.find("m1"));
+  cache_shared_segment(r, r.find("m2"));
   r.ask(1, "/stream/x", "key-w1", 5000, 8000);
   const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
   ASSERT_NE(fx, nullptr);
@@ -76,25 +81,25 @@
 }
 
 // A second attempt takes parts from who has them now, not from the first's.
-TEST(PromptMemory, AFurtherAttemptLooksForASourceAnew) {
+TEST(KvCache, RetrySelectsANewSource) {
   Relay r(3);
   r.declare();
-  mt_engine_t *owner = r.find("m1");
-  keep(r, owner);
-  owner->here.unread = 100000;
+  mt_engine_t *source_engine = r.find("m1");
+  cache_shared_segment(r, source_engine);
+  source_engine->local.pending_prefill = 100000;
   r.ask(1, "/stream/x", "key-w1", 5000, 8000);
-  ASSERT_EQ(r.find(MT_RELAY_DO_START)->u.start.source, owner->key);
-  mt_engine_failed(owner, r.now);
+  ASSERT_EQ(r.find(MT_RELAY_DO_START)->u.start.source, source_engine->key);
+  mt_engine_failed(source_engine, r.now);
   r.fail(1, true);
   const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
   ASSERT_NE(fx, nullptr);
-  EXPECT_NE(fx->u.start.source, owner->key);
-  owner->here.unread = 0;
+  EXPECT_NE(fx->u.start.source, source_engine->key);
+  source_engine->local.pending_prefill = 0;
 }
 
 // Two engines of a real gateway: the one that keeps a part has a long prompt
 // before it, so the next request goes to the other, which is told the source.
-TEST(PromptMemory, TheOtherEngineIsToldWhereToTakeItFrom) {
+TEST(KvCache, KvFetchHeaderNamesTheSource) {
   World w;
   std::vector<std::pair<int, Request>> seen; // port, request
   auto silent = [&] (Conn &c, const Request &r) {
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -7,15 +7,15 @@
 
 const uint64_t kDigest = 99;
 
-class Guarded : public Relay {
+class QuarantineRelay : public Relay {
 public:
-  Guarded() : Relay(4) {
+  QuarantineRelay() : Relay(4) {
     declare();
   }
-  void ask_same (uint64_t number, const char *path = "/once/x") {
+  void ask_suspect (uint64_t number, const char *path = "/once/x") {
     ask(number, path, "key-w1", 5000, 1000, "h.example", kDigest);
   }
-  const mt_suspect_word_t *word (mt_word_kind_t kind) const {
+  const mt_suspect_message_t *word (mt_suspect_message_kind_t kind) const {
     for (size_t i = 0; i < effects.count; i++)
       if (effects.list[i].kind == MT_RELAY_DO_TELL &&
           effects.list[i].u.word.kind == kind)
@@ -34,10 +34,11 @@
     event.u.probed.refused = refused;
     step(event);
   }
-  void tried (uint64_t number, mt_trial_t verdict,
-              mt_word_kind_t kind = MT_WORD_TRY, uint64_t engine = 0) {
-    const mt_suspect_word_t asked = {kind,  digest(), engine, number,
-                                     false, 0,        0};
+  void tried (uint64_t number, mt_trial_verdict_t verdict,
+              mt_suspect_message_kind_t kind = MT_SUSPECT_MESSAGE_LEASE,
+              uint64_t engine = 0) {
+    const mt_suspect_message_t asked = {kind,  digest(), engine, number,
+                                        false, 0,        0};
     mt_relay_event_t event{};
     event.kind = MT_RELAY_TRIED;
     event.request = number;
@@ -48,9 +49,9 @@
   // Both owners let it run; the engine that it goes to.
   uint64_t granted (uint64_t number) {
     tried(number, MT_TRIAL_GRANTED);
-    if (word(MT_WORD_HOLD) == nullptr) return 0;
-    uint64_t engine = word(MT_WORD_HOLD)->engine;
-    tried(number, MT_TRIAL_GRANTED, MT_WORD_HOLD, engine);
+    if (word(MT_SUSPECT_MESSAGE_LEASE_ENGINE) == nullptr) return 0;
+    uint64_t engine = word(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
+    tried(number, MT_TRIAL_GRANTED, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
     EXPECT_EQ(started(), engine);
     return engine;
   }
@@ -58,7 +59,7 @@
   static uint64_t digest () {
     return mtV_mix(kDigest, mtV_id("w1", 2)) | 1;
   }
-  void believe (mt_suspicion_t state) {
+  void set_state (mt_suspicion_t state) {
     bool alone = state == MT_SUSPICION_QUARANTINE;
     const mt_suspect_row_t row = {
         digest(),
@@ -69,15 +70,15 @@
         0,
         9000,
         1800000};
-    ASSERT_TRUE(mt_suspects_take(&relay->suspects, &row, now));
+    ASSERT_TRUE(mt_suspects_merge(&relay->suspects, &row, now));
     ASSERT_EQ(mt_suspects_state(&relay->suspects, digest(), now), state);
   }
 };
 
-TEST(Quarantine, ALostRunIsAnEndOnlyIfItsEngineEnded) {
+TEST(Quarantine, LostRunCountsOnlyIfItsEngineEnded) {
   struct Row {
     const char *what;
-    bool sent, up, refused, gone, told;
+    bool sent, up, refused, gone, reported;
   } rows[] = {
       {"nobody listens there", true, false, true, false, true},
       {"it takes connections", true, true, false, false, false},
@@ -87,8 +88,8 @@
   };
   for (const Row &row : rows) {
     SCOPED_TRACE(row.what);
-    Guarded r;
-    r.ask_same(1);
+    QuarantineRelay r;
+    r.ask_suspect(1);
     uint64_t engine = r.started();
     ASSERT_NE(engine, 0u);
     if (row.sent) r.sent(1);
@@ -96,42 +97,43 @@
     bool tries = r.find(MT_RELAY_DO_PROBE) != nullptr;
     EXPECT_EQ(tries, row.sent);
     r.probed(engine, row.up, row.refused);
-    bool told = r.word(MT_WORD_ENDED) != nullptr;
+    bool reported = r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
     if (row.gone) {
       mt_engine_t *e = mt_engines_get(&r.relay->engines, engine);
       mt_relay_engine_left(r.relay, e, r.now, r.now);
       r.pass(25);
-      told = r.word(MT_WORD_ENDED) != nullptr;
+      reported = r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
     }
-    EXPECT_EQ(told, row.told);
-    if (!told) continue;
-    EXPECT_EQ(r.word(MT_WORD_ENDED)->digest, Guarded::digest());
-    EXPECT_EQ(r.word(MT_WORD_ENDED)->engine, engine);
-    EXPECT_FALSE(r.word(MT_WORD_ENDED)->alone);
+    EXPECT_EQ(reported, row.reported);
+    if (!reported) continue;
+    EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_ENDED)->digest,
+              QuarantineRelay::digest());
+    EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_ENDED)->engine, engine);
+    EXPECT_FALSE(r.word(MT_SUSPECT_MESSAGE_ENDED)->alone);
   }
 }
 
 // Its datagram may be lost: it is told three times, and no more.
-TEST(Quarantine, AnEndIsRepeated) {
-  Guarded r;
-  r.ask_same(1);
+TEST(Quarantine, EndIsReportedThreeTimes) {
+  QuarantineRelay r;
+  r.ask_suspect(1);
   uint64_t engine = r.started();
   r.sent(1);
   r.fail(1);
   r.probed(engine, false, true);
-  int told = r.word(MT_WORD_ENDED) != nullptr;
+  int reported = r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
   for (int i = 0; i < 400; i++) {
     r.pass(25);
-    told += r.word(MT_WORD_ENDED) != nullptr;
+    reported += r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
   }
-  EXPECT_EQ(told, 3);
+  EXPECT_EQ(reported, 3);
   EXPECT_EQ(r.relay->lost.count, 0u);
 }
 
-TEST(Quarantine, WhatIsInQuarantineIsRefusedAtOnce) {
-  Guarded r;
-  r.believe(MT_SUSPICION_QUARANTINE);
-  r.ask_same(1);
+TEST(Quarantine, QuarantinedRequestsAreRefused) {
+  QuarantineRelay r;
+  r.set_state(MT_SUSPICION_QUARANTINE);
+  r.ask_suspect(1);
   EXPECT_EQ(r.refusal(), MT_RELAY_QUARANTINED);
   EXPECT_EQ(r.find(MT_RELAY_DO_REFUSE)->u.refuse.retry_after, 600000u);
   EXPECT_EQ(mt_relay_refusal_status(MT_RELAY_QUARANTINED), 503);
@@ -141,10 +143,10 @@
   EXPECT_NE(r.started(), 0u); // another request
 }
 
-TEST(Quarantine, ASuspectAsksItsOwner) {
+TEST(Quarantine, SuspectsRunOnlyWithTheirOwnersLease) {
   struct Row {
     const char *what;
-    mt_trial_t verdict;
+    mt_trial_verdict_t verdict;
     bool starts;
     mt_relay_refusal_t refusal;
   } rows[] = {
@@ -152,19 +154,19 @@
       {"free", MT_TRIAL_FREE, true, MT_RELAY_REFUSAL_COUNT},
       {"another runs", MT_TRIAL_BUSY, false, MT_RELAY_ON_PROBATION},
       {"refused", MT_TRIAL_REFUSED, false, MT_RELAY_QUARANTINED},
-      {"no answer", MT_TRIALS, false, MT_RELAY_ON_PROBATION},
+      {"no answer", MT_TRIAL_COUNT, false, MT_RELAY_ON_PROBATION},
   };
   for (const Row &row : rows) {
     SCOPED_TRACE(row.what);
-    Guarded r;
-    r.believe(MT_SUSPICION_PROBATION);
-    r.ask_same(1);
-    ASSERT_NE(r.word(MT_WORD_TRY), nullptr);
-    EXPECT_EQ(r.word(MT_WORD_TRY)->request, 1u);
+    QuarantineRelay r;
+    r.set_state(MT_SUSPICION_PROBATION);
+    r.ask_suspect(1);
+    ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_LEASE), nullptr);
+    EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_LEASE)->request, 1u);
     EXPECT_EQ(r.started(), 0u);
     if (row.verdict == MT_TRIAL_GRANTED) {
       EXPECT_NE(r.granted(1), 0u);
-    } else if (row.verdict != MT_TRIALS) {
+    } else if (row.verdict != MT_TRIAL_COUNT) {
       r.tried(1, row.verdict);
     } else {
       r.pass(25);
@@ -176,22 +178,22 @@
   }
 }
 
-TEST(Quarantine, ATrialIsGivenBackUnlessItShowsSomething) {
+TEST(Quarantine, LeasesAreReleasedWhenATrialEnds) {
   struct Row {
     const char *what;
-    int how;
-    mt_word_kind_t word;
-  } rows[] = {{"answered whole", 0, MT_WORD_ANSWERED},
-              {"its caller left", 1, MT_WORD_RELEASE},
-              {"its engine ended", 2, MT_WORD_ENDED},
-              {"its engine lives", 3, MT_WORD_RELEASE},
-              {"granted too late", 4, MT_WORD_RELEASE}};
+    int outcome;
+    mt_suspect_message_kind_t word;
+  } rows[] = {{"answered whole", 0, MT_SUSPECT_MESSAGE_ANSWERED},
+              {"its caller left", 1, MT_SUSPECT_MESSAGE_RELEASE},
+              {"its engine ended", 2, MT_SUSPECT_MESSAGE_ENDED},
+              {"its engine lives", 3, MT_SUSPECT_MESSAGE_RELEASE},
+              {"granted too late", 4, MT_SUSPECT_MESSAGE_RELEASE}};
   for (const Row &row : rows) {
     SCOPED_TRACE(row.what);
-    Guarded r;
-    r.believe(MT_SUSPICION_PROBATION);
-    r.ask_same(1, "/again/x");
-    if (row.how == 4) {
+    QuarantineRelay r;
+    r.set_state(MT_SUSPICION_PROBATION);
+    r.ask_suspect(1, "/again/x");
+    if (row.outcome == 4) {
       r.step(r.of(MT_RELAY_CALLER_LEFT, 1));
       r.tried(1, MT_TRIAL_GRANTED);
       EXPECT_NE(r.word(row.word), nullptr);
@@ -200,74 +202,75 @@
     uint64_t engine = r.granted(1);
     ASSERT_NE(engine, 0u);
     r.sent(1);
-    if (row.how == 0) {
+    if (row.outcome == 0) {
       r.head(1, 200);
       r.end(1);
-    } else if (row.how == 1) {
+    } else if (row.outcome == 1) {
       r.step(r.of(MT_RELAY_CALLER_LEFT, 1));
     } else {
       r.fail(1);
       EXPECT_EQ(r.started(), 0u); // no other engine is risked
-      EXPECT_EQ(r.word(MT_WORD_RELEASE), nullptr);
-      r.probed(engine, row.how == 3, row.how == 2);
+      EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
+      r.probed(engine, row.outcome == 3, row.outcome == 2);
       for (int i = 0; i < 240 && r.word(row.word) == nullptr; i++) r.pass(25);
     }
-    const mt_suspect_word_t *word = r.word(row.word);
+    const mt_suspect_message_t *word = r.word(row.word);
     ASSERT_NE(word, nullptr);
-    EXPECT_EQ(word->digest, Guarded::digest());
-    EXPECT_EQ(word->alone, row.how == 2);
-    EXPECT_NE(r.word(MT_WORD_DROP), nullptr); // the engine's lease, always
+    EXPECT_EQ(word->digest, QuarantineRelay::digest());
+    EXPECT_EQ(word->alone, row.outcome == 2);
+    EXPECT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE),
+              nullptr); // the engine's lease, always
   }
 }
 
 // What may end its engine goes where the least runs.
-TEST(Quarantine, ATrialGoesWhereTheLeastRuns) {
-  Guarded r;
+TEST(Quarantine, TrialGoesToTheLeastLoadedEngine) {
+  QuarantineRelay r;
   for (size_t i = 0; i < r.relay->engines.count; i++)
     r.relay->engines.list[i]->peers.running = 3;
   r.find("p3")->peers.running = 0;
   r.find("m2")->peers.running = 0;
-  r.believe(MT_SUSPICION_PROBATION);
-  r.ask_same(1);
+  r.set_state(MT_SUSPICION_PROBATION);
+  r.ask_suspect(1);
   EXPECT_EQ(r.granted(1), r.find("p3")->key);
   r.step(r.of(MT_RELAY_CALLER_LEFT, 1));
-  r.ask_same(2, "/stream/x");
+  r.ask_suspect(2, "/stream/x");
   EXPECT_EQ(r.granted(2), r.find("m2")->key);
 }
 
 // Where one suspect runs no other does: both would be blamed for an end.
-TEST(Quarantine, AnEngineIsTriedByOneSuspectAtATime) {
-  Guarded r;
-  r.believe(MT_SUSPICION_PROBATION);
-  r.ask_same(1);
+TEST(Quarantine, OneSuspectPerEngine) {
+  QuarantineRelay r;
+  r.set_state(MT_SUSPICION_PROBATION);
+  r.ask_suspect(1);
   r.tried(1, MT_TRIAL_GRANTED);
-  ASSERT_NE(r.word(MT_WORD_HOLD), nullptr);
-  uint64_t engine = r.word(MT_WORD_HOLD)->engine;
-  r.tried(1, MT_TRIAL_BUSY, MT_WORD_HOLD, engine);
+  ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_LEASE_ENGINE), nullptr);
+  uint64_t engine = r.word(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
+  r.tried(1, MT_TRIAL_BUSY, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
   EXPECT_EQ(r.refusal(), MT_RELAY_ON_PROBATION);
-  EXPECT_NE(r.word(MT_WORD_RELEASE), nullptr);
-  EXPECT_EQ(r.word(MT_WORD_DROP), nullptr);
+  EXPECT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
+  EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
   // Granted too late, it is given back; and so it is by who used it.
-  r.tried(1, MT_TRIAL_GRANTED, MT_WORD_HOLD, engine);
-  ASSERT_NE(r.word(MT_WORD_DROP), nullptr);
-  EXPECT_EQ(r.word(MT_WORD_DROP)->engine, engine);
-  r.ask_same(2);
+  r.tried(1, MT_TRIAL_GRANTED, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
+  ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
+  EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
+  r.ask_suspect(2);
   engine = r.granted(2);
   r.step(r.of(MT_RELAY_CALLER_LEFT, 2));
-  ASSERT_NE(r.word(MT_WORD_DROP), nullptr);
-  EXPECT_EQ(r.word(MT_WORD_DROP)->engine, engine);
-  EXPECT_NE(r.word(MT_WORD_RELEASE), nullptr);
+  ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
+  EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
+  EXPECT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
 }
 
 // An engine that fails requests and takes connections is no better for it.
-TEST(Quarantine, AConnectionDoesNotExcuseAnEngineThatFails) {
-  Guarded r;
+TEST(Quarantine, ProbeDoesNotResetFailures) {
+  QuarantineRelay r;
   mt_engine_t *e = r.find("p1");
   e->failures = 5;
-  e->hold = r.now + 500;
+  e->suspended_until = r.now + 500;
   r.probed(e->key, true, false);
   EXPECT_EQ(e->failures, 5);
-  EXPECT_GT(e->hold, r.now);
+  EXPECT_GT(e->suspended_until, r.now);
 }
 
 } // namespace
--- a/tests/reach_test.cc
+++ b/tests/reach_test.cc
@@ -16,7 +16,7 @@
 
 // One engine is out of reach: the request that found out goes elsewhere, and
 // no other is risked on it, however long that lasts.
-TEST(Reach, NoRequestIsRisked) {
+TEST(Reach, UnreachableEngineGetsNoRequests) {
   Relay r(2);
   r.declare();
   r.ask(1, "/once/x");
@@ -50,7 +50,7 @@
   EXPECT_EQ(r.relay->counters.probes, (uint64_t)probes);
 }
 
-TEST(Reach, AProbeEndsIt) {
+TEST(Reach, SuccessfulProbeRestoresEngine) {
   struct Row {
     const char *what;
     bool answered, up;
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(Reach, WhoIsGoneIsNotProbed) {
+TEST(Reach, RemovedEnginesAreNotProbed) {
   for (mt_engine_state_t state : {MT_ENGINE_DRAINING, MT_ENGINE_GONE}) {
     Relay r(1);
     r.declare();
@@ -90,7 +90,7 @@
 
 // Nothing listens at the engine's port, then something does: it is found
 // without a request that waits for it.
-TEST(Reach, AnEngineThatComesBackIsFound) {
+TEST(Reach, RecoveredEngineIsFoundByProbe) {
   World w;
   Listener *e = w.listen([&] (Conn &c, const Request &r) {
     c.send(answer(200,
--- a/tests/read_time_test.cc
+++ b/tests/read_time_test.cc
@@ -8,22 +8,22 @@
 
 namespace {
 
-struct Seen {
+struct Sample {
   double tokens, ms;
 };
 
-mt_read_line_t line_through (const std::vector<Seen> &seen, double declared,
-                             int times) {
-  mt_read_time_t t{};
+mt_prefill_model_t fit_samples (const std::vector<Sample> &samples,
+                                double declared, int times) {
+  mt_prefill_time_t t{};
   for (int i = 0; i < times; i++)
-    for (const Seen &s : seen) mt_read_time_learn(&t, s.tokens, s.ms);
-  return mt_read_time_line(&t, declared);
+    for (const Sample &s : samples) mt_prefill_time_add(&t, s.tokens, s.ms);
+  return mt_prefill_time_fit(&t, declared);
 }
 
-TEST(ReadTime, FindsTheFixedPartAndTheRate) {
+TEST(PrefillTime, FitsFixedCostAndRate) {
   struct Row {
     const char *what;
-    std::vector<Seen> seen;
+    std::vector<Sample> samples;
     double fixed, rate, within; // of both, as a part
   } rows[] = {
       {"a fixed part of 50 ms, 100 tokens per ms",
@@ -43,19 +43,19 @@
        0.3},
   };
   for (const Row &row : rows) {
-    mt_read_line_t line = line_through(row.seen, 50, 60);
-    EXPECT_NEAR(line.fixed_ms, row.fixed,
+    mt_prefill_model_t model = fit_samples(row.samples, 50, 60);
+    EXPECT_NEAR(model.fixed_ms, row.fixed,
                 row.within * std::max(row.fixed, 20.0))
         << row.what;
-    EXPECT_NEAR(1 / line.ms_per_token, row.rate, row.within * row.rate)
+    EXPECT_NEAR(1 / model.ms_per_token, row.rate, row.within * row.rate)
         << row.what;
   }
 }
 
-TEST(ReadTime, IsUsableWhateverWasSeen) {
+TEST(PrefillTime, FitIsBoundedForAnyInput) {
   struct Row {
     const char *what;
-    std::vector<Seen> seen;
+    std::vector<Sample> samples;
     double tokens, ms, within; // what the line says of so many tokens
   } rows[] = {
       {"nothing: the declared rate", {}, 5000, 100, 1},
@@ -68,29 +68,29 @@
       {"no time at all", {{1000, 0}, {9000, 0}}, 5000, 0, 20},
   };
   for (const Row &row : rows) {
-    mt_read_line_t line = line_through(row.seen, 50, 100);
-    EXPECT_GE(line.fixed_ms, 0) << row.what;
-    EXPECT_GT(line.ms_per_token, 0) << row.what;
-    EXPECT_NEAR(line.fixed_ms + row.tokens * line.ms_per_token, row.ms,
+    mt_prefill_model_t model = fit_samples(row.samples, 50, 100);
+    EXPECT_GE(model.fixed_ms, 0) << row.what;
+    EXPECT_GT(model.ms_per_token, 0) << row.what;
+    EXPECT_NEAR(model.fixed_ms + row.tokens * model.ms_per_token, row.ms,
                 row.within)
         << row.what;
   }
 }
 
-TEST(ReadTime, FollowsEnginesThatChange) {
-  mt_read_time_t t{};
+TEST(PrefillTime, FollowsChangingEngines) {
+  mt_prefill_time_t t{};
   for (int i = 0; i < 500; i++)
-    mt_read_time_learn(&t, 1000 + i % 9 * 1000, 50 + (1 + i % 9) * 10);
+    mt_prefill_time_add(&t, 1000 + i % 9 * 1000, 50 + (1 + i % 9) * 10);
   for (int i = 0; i < 500; i++)
-    mt_read_time_learn(&t, 1000 + i % 9 * 1000, 50 + (1 + i % 9) * 40);
-  mt_read_line_t line = mt_read_time_line(&t, 50);
-  EXPECT_NEAR(line.ms_per_token, 0.04, 0.004);
-  EXPECT_NEAR(line.fixed_ms, 50, 10);
+    mt_prefill_time_add(&t, 1000 + i % 9 * 1000, 50 + (1 + i % 9) * 40);
+  mt_prefill_model_t model = mt_prefill_time_fit(&t, 50);
+  EXPECT_NEAR(model.ms_per_token, 0.04, 0.004);
+  EXPECT_NEAR(model.fixed_ms, 50, 10);
 }
 
 // The same prompts at engines that all begin with a fixed 50 ms: what a
 // router expects must not be a slow engine's, or it refuses for nothing.
-TEST(ReadTime, AFixedPartIsNoSlowReading) {
+TEST(PrefillTime, FixedCostIsNotCountedAsSlowPrefill) {
   Relay r(1);
   r.declare();
   for (uint64_t i = 1; i <= 300; i++) {
--- a/tests/rejection_test.cc
+++ b/tests/rejection_test.cc
@@ -60,7 +60,7 @@
     ASSERT_NE(first, nullptr) << row.what;
     for (size_t i = 0; i < r.relay->engines.count; i++)
       if (r.relay->engines.list[i] != first)
-        r.relay->engines.list[i]->peers.unread = row.queued;
+        r.relay->engines.list[i]->peers.pending_prefill = row.queued;
     r.finish(1, row.end);
     EXPECT_EQ(r.started(1) != nullptr, row.retried) << row.what;
     EXPECT_EQ(r.refusal() == MT_RELAY_REFUSAL_COUNT, row.retried) << row.what;
@@ -87,10 +87,12 @@
   for (const Row &row : rows) {
     Rejecting r(2);
     mt_engine_t *e = r.find("m1");
-    for (int i = 0; i < row.rejected; i++) mt_engine_rejected(e, r.now);
-    for (int i = 0; i < row.taken; i++) mt_engine_took(e, r.now, r.now);
+    for (int i = 0; i < row.rejected; i++)
+      mt_engine_request_rejected(e, r.now);
+    for (int i = 0; i < row.taken; i++)
+      mt_engine_request_accepted(e, r.now, r.now);
     r.now += std::max(row.later, (mt_ms_t)100); // behind the hold
-    r.find("m2")->peers.unread = row.queued;
+    r.find("m2")->peers.pending_prefill = row.queued;
     r.ask(1, "/stream/x");
     ASSERT_NE(r.started(1), nullptr) << row.what;
     EXPECT_STREQ(r.started(1)->name, row.engine) << row.what;
@@ -132,7 +134,7 @@
 TEST(Rejection, AStartIsJudgedByItself) {
   Rejecting r(1);
   mt_engine_t *e = r.find("m1");
-  for (int i = 0; i < 10; i++) mt_engine_rejected(e, r.now);
+  for (int i = 0; i < 10; i++) mt_engine_request_rejected(e, r.now);
   EXPECT_GT(mt_engine_rejection_rate(e, r.now), 0.5);
   mt_engine_restarted(e);
   EXPECT_EQ(mt_engine_rejection_rate(e, r.now), 0);
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -29,9 +29,9 @@
   mt_catalog_add_service(c, "plain");
   mt_catalog_service_t *model = mt_catalog_add_service(c, "model");
   model->model = true;
-  model->memory = 100000;
-  model->moves = true;
-  model->token_bytes = 35000;
+  model->kv_capacity = 100000;
+  model->kv_transfer = true;
+  model->kv_bytes_per_token = 35000;
   model->link_mbps = 1000000;
   for (const Row &row : rows) {
     mt_catalog_route_t *r =
@@ -51,7 +51,7 @@
   mt_catalog_add_key(c, "other-key-w1");
   mt_catalog_add_workspace(c, "w2");
   mt_catalog_add_key(c, "key-w2");
-  mt_catalog_close(c);
+  mt_catalog_build_index(c);
   return c;
 }
 
@@ -199,8 +199,9 @@
   }
   bool idle () const {
     for (size_t i = 0; i < relay->engines.count; i++) {
-      const mt_engine_load_t &l = relay->engines.list[i]->here;
-      if (l.running != 0 || l.unread != 0 || l.held != 0) return false;
+      const mt_engine_load_t &l = relay->engines.list[i]->local;
+      if (l.running != 0 || l.pending_prefill != 0 || l.held != 0)
+        return false;
     }
     return true;
   }
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -48,7 +48,7 @@
               {"/again/deeper/x", "/again/"},
               {"/again", nullptr}};
   for (const Row &row : rows) {
-    const mt_catalog_route_t *found = mt_catalog_route(
+    const mt_catalog_route_t *found = mt_catalog_find_route(
         r.relay->catalog, {"h.example", 9}, {row.path, strlen(row.path)});
     EXPECT_STREQ(found ? found->name : nullptr, row.route) << row.path;
   }
@@ -334,7 +334,7 @@
     mt_engine_t *e = r.find("p1");
     e->state = row.before;
     mt_relay_engine_left(r.relay, e, r.now, r.now);
-    if (row.back) e->vanished = 0;
+    if (row.back) e->unlisted_since = 0;
     r.pass(row.later);
     r.ask(1, "/again/x");
     EXPECT_EQ(r.find(MT_RELAY_DO_START) != nullptr, row.used) << row.later;
@@ -375,7 +375,7 @@
 
 TEST(PrefixCache, PartsAgeByWhatTheEngineReads) {
   mt_prefix_cache_t cache{};
-  mt_prefix_part_t chain[] = {{1, 100}, {2, 200}, {3, 300}};
+  mt_prefix_segment_t chain[] = {{1, 100}, {2, 200}, {3, 300}};
   mt_prefix_cache_use(&cache, chain, 3, 1000);
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain, 3, 1000), 600);
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain + 1, 2, 1000), 500);
@@ -408,8 +408,8 @@
     mt_fair_share_t s{};
     mt_fair_share_update(&s, row.declared, 1000);
     for (size_t i = 0; i < row.asked.size(); i++) {
-      mt_fair_share_asked(&s, (mt_id_t)i + 1, row.asked[i]);
-      mt_fair_share_served(&s, (mt_id_t)i + 1, row.served[i]);
+      mt_fair_share_record_demand(&s, (mt_id_t)i + 1, row.asked[i]);
+      mt_fair_share_record_served(&s, (mt_id_t)i + 1, row.served[i]);
     }
     mt_fair_share_update(&s, row.declared, 1000);
     EXPECT_NEAR(s.level, row.level, 0.5);
@@ -451,7 +451,7 @@
     other->peers = {1e6, (2 - row.served) * 1e4 + 1};
     r.pass(200);
     r.relay->shares.level = 1e4;
-    r.find("m1")->peers.unread =
+    r.find("m1")->peers.pending_prefill =
         (int64_t)(15 * mt_relay_rate(r.relay, mtV_id("model", 5)));
     r.ask(1, "/stream/x", row.key);
     EXPECT_EQ(r.find(MT_RELAY_DO_START) != nullptr, row.taken) << row.served;
--- a/tests/restart_test.cc
+++ b/tests/restart_test.cc
@@ -11,29 +11,29 @@
   Relay r(2);
   r.declare();
   mt_engine_t *e = r.find("m1");
-  const mt_prefix_part_t part = {7, 500};
-  mt_prefix_cache_use(&e->kept, &part, 1, 100000);
-  mt_part_holders_note(&r.relay->holders, 7, e->key, r.now);
+  const mt_prefix_segment_t part = {7, 500};
+  mt_prefix_cache_use(&e->cached, &part, 1, 100000);
+  mt_prefix_holders_set(&r.relay->holders, 7, e->key, r.now);
   e->state = MT_ENGINE_DRAINING;
-  e->vanished = r.now;
+  e->unlisted_since = r.now;
   e->peers.running = 60;
   e->failures = 5;
-  e->hold = r.now + 3000;
+  e->suspended_until = r.now + 3000;
   e->unreachable = true;
   e->slowness = 6;
   const mt_load_row_t row = {nullptr, 9, {100, 200, 3}, 50, r.now + 2500};
-  mt_load_book_take(&r.relay->book, e->key, &row);
+  mt_load_table_set(&r.relay->book, e->key, &row);
   mt_relay_event_t event{};
   event.kind = MT_RELAY_RESTARTED;
   event.u.restarted = e->key;
   r.step(event);
-  EXPECT_EQ(mt_prefix_cache_match(&e->kept, &part, 1, 100000), 0);
-  EXPECT_EQ(mt_part_holders_find(&r.relay->holders, 7), 0u);
-  EXPECT_EQ(mt_load_book_sum(&r.relay->book, e->key, 0, r.now).running, 0);
-  EXPECT_EQ(e->vanished, 0u);
+  EXPECT_EQ(mt_prefix_cache_match(&e->cached, &part, 1, 100000), 0);
+  EXPECT_EQ(mt_prefix_holders_find(&r.relay->holders, 7), 0u);
+  EXPECT_EQ(mt_load_table_sum(&r.relay->book, e->key, 0, r.now).running, 0);
+  EXPECT_EQ(e->unlisted_since, 0u);
   EXPECT_EQ(e->peers.running, 0);
   EXPECT_EQ(e->failures, 0);
-  EXPECT_EQ(e->hold, 0u);
+  EXPECT_EQ(e->suspended_until, 0u);
   EXPECT_FALSE(e->unreachable);
   EXPECT_EQ(e->slowness, 1.0);
 }
@@ -66,11 +66,10 @@
   }
 }
 
-std::string listed (int port, long born, const char *state = "ready") {
+std::string listed (int port, long started_at, const char *state = "ready") {
   return "{\"service\":\"plain\",\"addr\":\"127.0.0.1:" +
-         std::to_string(port) +
-         "\",\"zone\":\"d1\",\"slots\":8,\"born\":" + std::to_string(born) +
-         ",\"state\":\"" + state + "\"}";
+         std::to_string(port) + "\",\"zone\":\"d1\",\"slots\":8,\"born\":" +
+         std::to_string(started_at) + ",\"state\":\"" + state + "\"}";
 }
 
 struct Restarted {
--- a/tests/revision_test.cc
+++ b/tests/revision_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-TEST(Revision, OfALaterEraIsNewer) {
+TEST(Revision, LaterEraIsNewer) {
   struct Row {
     int64_t era, count;
     const char *text;
@@ -35,7 +35,7 @@
   }
 }
 
-TEST(Revision, OutOfRangeIsTheNearest) {
+TEST(Revision, OutOfRangeValuesAreClamped) {
   EXPECT_EQ(mt_revision(-1, 5), mt_revision(0, 5));
   EXPECT_EQ(mt_revision(3, -5), mt_revision(3, 0));
   EXPECT_EQ(mt_revision(3, INT64_MAX), mt_revision(3, MT_REVISION_COUNT_MAX));
@@ -72,7 +72,7 @@
 }
 
 // Nearly all revisions are of the latest era: they take no more room for it.
-TEST(PeerMessage, AnEraCostsLittle) {
+TEST(PeerMessage, EraDoesNotGrowTheMessage) {
   char bytes[MT_PEER_DATAGRAM_MAX];
   auto m = std::make_unique<mt_peer_message_t>();
   size_t sizes[2];
@@ -86,7 +86,7 @@
 }
 
 // Who knows everything of an era knows nothing of the next.
-TEST(FeedState, ALaterEraIsLacking) {
+TEST(FeedState, LaterEraMarksTheFeedAsLacking) {
   struct Row {
     const char *what;
     mt_revision_t newest, at; // heard; all up to 1/100 is known here
--- a/tests/share_exchange_test.cc
+++ b/tests/share_exchange_test.cc
@@ -105,9 +105,9 @@
         if (r->dark) continue;
         mt_id_t workspace = (mt_id_t)(1 + i % (size_t)workspaces);
         mt_share_t *share = mt_fair_share_get(&r->shares, workspace);
-        share->here = {100, 50};
+        share->local = {100, 50};
         for (int k = 1; everywhere && k <= workspaces; k++)
-          mt_fair_share_get(&r->shares, (mt_id_t)k)->here = {1e6, 5e5};
+          mt_fair_share_get(&r->shares, (mt_id_t)k)->local = {1e6, 5e5};
         mt_membership_update(&r->members, now);
         mt_share_exchange_tick(&r->exchange);
       }
@@ -116,7 +116,7 @@
   // What all asked for, as one router sees it.
   double seen (const Router &r, mt_id_t workspace) {
     mt_share_t *share = mt_fair_share_get(&((Router &)r).shares, workspace);
-    return share->here.asked + share->peers.asked;
+    return share->local.asked + share->peers.asked;
   }
 };
 
--- a/tests/suspects_test.cc
+++ b/tests/suspects_test.cc
@@ -29,24 +29,24 @@
   bool ended (uint64_t engine, bool alone = false, mt_ms_t age = 0,
               uint64_t digest = kDigest) {
     const mt_suspect_end_t end = {engine, now - age, alone};
-    return mt_suspects_ended(&suspects, digest, &end, now);
+    return mt_suspects_add_end(&suspects, digest, &end, now);
   }
   bool answered (mt_ms_t age = 0) {
-    return mt_suspects_cleared(&suspects, kDigest, now - age, now);
+    return mt_suspects_clear(&suspects, kDigest, now - age, now);
   }
   mt_suspicion_t state (uint64_t digest = kDigest) const {
     return mt_suspects_state(&suspects, digest, now);
   }
-  mt_trial_t attempt (uint64_t holder) {
-    return mt_suspects_try(&suspects, kDigest, holder, 2000, now);
+  mt_trial_verdict_t attempt (uint64_t holder) {
+    return mt_suspects_lease(&suspects, kDigest, holder, 2000, now);
   }
 };
 
 // What happens to one request: letters are engines that end under it
 // (capital: while it ran alone), '+' an answer, '.' two seconds, ',' 150 ms.
-TEST(Suspects, WhatEndsAndAnswersAmountTo) {
+TEST(Suspects, StateFollowsEndsAndAnswers) {
   struct Row {
-    const char *what, *story;
+    const char *what, *history;
     mt_suspicion_t state;
   } rows[] = {
       {"nothing", "", MT_SUSPICION_NONE},
@@ -79,7 +79,7 @@
   for (const Row &row : rows) {
     SCOPED_TRACE(row.what);
     Table t;
-    for (const char *p = row.story; *p != '\0'; p++) {
+    for (const char *p = row.history; *p != '\0'; p++) {
       if (*p == '.')
         t.now += 2000;
       else if (*p == ',')
@@ -95,7 +95,7 @@
 
 // Two that were at the same ends: each is a bystander as far as is known,
 // until the other is cleared.
-TEST(Suspects, AnEndCountsWhileNoOtherSuspectWasThere) {
+TEST(Suspects, EndsSharedWithAnotherSuspectDoNotCount) {
   Table t;
   const uint64_t other = 78;
   for (uint64_t engine : {'a', 'b', 'c', 'd'}) {
@@ -108,12 +108,12 @@
   EXPECT_EQ(t.state(), MT_SUSPICION_QUARANTINE);
   t.ended('e', false, 0, other);
   EXPECT_EQ(t.state(), MT_SUSPICION_PROBATION);
-  EXPECT_EQ(mt_suspects_standing(&t.suspects, kDigest, t.now).alone, 1);
-  EXPECT_TRUE(mt_suspects_cleared(&t.suspects, other, t.now, t.now));
+  EXPECT_EQ(mt_suspects_status(&t.suspects, kDigest, t.now).alone, 1);
+  EXPECT_TRUE(mt_suspects_clear(&t.suspects, other, t.now, t.now));
   EXPECT_EQ(t.state(), MT_SUSPICION_QUARANTINE);
 }
 
-TEST(Suspects, AnAnswerClearsWhatCameBeforeIt) {
+TEST(Suspects, AnswerClearsEarlierEnds) {
   Table t;
   t.ended('a');
   t.ended('b');
@@ -153,7 +153,7 @@
 }
 
 // When a quarantine is over one copy may run; it lasts longer each time.
-TEST(Suspects, AQuarantineEndsWithTimeAndOneTry) {
+TEST(Suspects, QuarantineEndsInASingleTrial) {
   Table t;
   t.ended('a');
   t.ended('b');
@@ -161,7 +161,7 @@
   t.ended('e', true);
   mt_ms_t before = 0;
   for (int i = 0; i < 4; i++) {
-    mt_ms_t left = mt_suspects_standing(&t.suspects, kDigest, t.now).left;
+    mt_ms_t left = mt_suspects_status(&t.suspects, kDigest, t.now).left;
     EXPECT_GT(left, before);
     before = left;
     t.now += left - 1;
@@ -179,7 +179,7 @@
   EXPECT_EQ(t.suspects.by_digest.used, 0u);
 }
 
-TEST(Suspects, MemoryIsBoundedAndGraveOnesStay) {
+TEST(Suspects, TableIsBoundedAndKeepsSuspectsAboveThreshold) {
   Table t;
   t.ended('a');
   t.ended('b');
@@ -191,28 +191,28 @@
   EXPECT_EQ(t.state(99999), MT_SUSPICION_NOTED); // the newest
   for (uint64_t i = 1; i < 20000; i++)
     mt_suspects_note_answer(&t.suspects, i, t.now + i);
-  EXPECT_EQ(mt_suspects_answered(&t.suspects, 1), 0u);
-  EXPECT_EQ(mt_suspects_answered(&t.suspects, 19999), t.now + 19999);
-  EXPECT_LE(t.suspects.answered_at.used, 4096u);
+  EXPECT_EQ(mt_suspects_last_answer(&t.suspects, 1), 0u);
+  EXPECT_EQ(mt_suspects_last_answer(&t.suspects, 19999), t.now + 19999);
+  EXPECT_LE(t.suspects.answer_slots.used, 4096u);
 }
 
-TEST(Suspects, TheGreaterVersionIsRight) {
+TEST(Suspects, GreaterVersionWins) {
   Table t, other;
   t.ended('a');
   t.ended('b');
   mt_suspect_row_t row =
       mt_suspects_row(mt_suspects_get(&t.suspects, kDigest), t.now);
-  EXPECT_TRUE(mt_suspects_take(&other.suspects, &row, other.now));
-  EXPECT_FALSE(mt_suspects_take(&other.suspects, &row, other.now));
+  EXPECT_TRUE(mt_suspects_merge(&other.suspects, &row, other.now));
+  EXPECT_FALSE(mt_suspects_merge(&other.suspects, &row, other.now));
   EXPECT_EQ(other.state(), MT_SUSPICION_PROBATION);
   other.now += 2000; // who takes over as owner goes on counting
   EXPECT_TRUE(other.ended('c', true));
   EXPECT_TRUE(other.ended('d', true));
   EXPECT_EQ(other.state(), MT_SUSPICION_QUARANTINE);
-  EXPECT_FALSE(mt_suspects_take(&other.suspects, &row, other.now));
+  EXPECT_FALSE(mt_suspects_merge(&other.suspects, &row, other.now));
   row.version += 5;
   row.listed = 0;
-  EXPECT_TRUE(mt_suspects_take(&other.suspects, &row, other.now));
+  EXPECT_TRUE(mt_suspects_merge(&other.suspects, &row, other.now));
   EXPECT_EQ(other.state(), MT_SUSPICION_NONE);
 }
 
@@ -220,7 +220,7 @@
 
 // {== Operators ============================================================
 
-TEST(SuspectsPage, ReadsPathsAndListsWhatHolds) {
+TEST(SuspectsPage, ParsesPathsAndListsStates) {
   struct Row {
     const char *path;
     bool at;
@@ -263,8 +263,8 @@
   mt_suspects_t suspects{};
   mt_suspect_exchange_t exchange{};
   mt_peer_message_t out{};
-  bool cut = false;
-  mt_trial_t verdict = MT_TRIALS;
+  bool partitioned = false;
+  mt_trial_verdict_t verdict = MT_TRIAL_COUNT;
   ~Router() {
     mt_suspects_free(&suspects);
     mt_membership_free(&members);
@@ -303,7 +303,7 @@
     r->suspects = mt_suspects_t{};
     open(r);
     for (auto &other : routers)
-      if (other.get() != r && !other->cut && !r->cut)
+      if (other.get() != r && !other->partitioned && !r->partitioned)
         mt_suspect_exchange_greet(&other->exchange, r->members.own_ip);
   }
   static mt_peer_message_t *begin (void *ud, mt_peer_kind_t kind) {
@@ -322,15 +322,15 @@
     for (uint32_t ip : list) {
       Router *other = r->fleet->by_ip[ip];
       r->fleet->bytes += n;
-      if (other->cut != r->cut) continue;
+      if (other->partitioned != r->partitioned) continue;
       if (r->fleet->random() % 1000 < r->fleet->lost) continue;
       mt_peer_t *peer =
           mt_membership_know(&other->members, r->members.own_ip);
       mt_suspect_exchange_take(&other->exchange, peer, copy.get());
     }
   }
-  static void tried (void *ud, const mt_suspect_word_t *,
-                     mt_trial_t verdict) {
+  static void tried (void *ud, const mt_suspect_message_t *,
+                     mt_trial_verdict_t verdict) {
     ((Router *)ud)->verdict = verdict;
   }
   static void note (void *, const mt_suspect_t *, uint32_t, const char *) {
@@ -342,36 +342,37 @@
           mt_peer_t *peer =
               mt_membership_know(&r->members, other->members.own_ip);
           if (peer != nullptr) peer->domain = other->members.own_domain;
-          if (peer != nullptr && other->cut == r->cut) peer->heard = now;
+          if (peer != nullptr && other->partitioned == r->partitioned)
+            peer->heard = now;
         }
         mt_membership_update(&r->members, now);
         mt_suspect_exchange_tick(&r->exchange);
       }
   }
-  void say (size_t router, mt_word_kind_t kind, uint64_t engine = 0,
-            bool alone = false) {
-    const mt_suspect_word_t word = {.kind = kind,
-                                    .digest = kDigest,
-                                    .engine = engine,
-                                    .request = router + 1,
-                                    .alone = alone,
-                                    .age = 0,
-                                    .lease = 5000};
+  void send_message (size_t router, mt_suspect_message_kind_t kind,
+                     uint64_t engine = 0, bool alone = false) {
+    const mt_suspect_message_t word = {.kind = kind,
+                                       .digest = kDigest,
+                                       .engine = engine,
+                                       .request = router + 1,
+                                       .alone = alone,
+                                       .age = 0,
+                                       .lease = 5000};
     mt_suspect_exchange_say(&routers[router]->exchange, &word);
   }
   // As a router does that hears no answer: the same end three times.
   void ended (size_t router, uint64_t engine, bool alone = false) {
     for (int i = 0; i < 3; i++) {
-      say(router, MT_WORD_ENDED, engine, alone);
+      send_message(router, MT_SUSPECT_MESSAGE_ENDED, engine, alone);
       pass(100);
     }
   }
-  mt_trial_t attempt (size_t router) {
-    routers[router]->verdict = MT_TRIALS;
-    say(router, MT_WORD_TRY);
+  mt_trial_verdict_t attempt (size_t router) {
+    routers[router]->verdict = MT_TRIAL_COUNT;
+    send_message(router, MT_SUSPECT_MESSAGE_LEASE);
     return routers[router]->verdict;
   }
-  size_t that_are (mt_suspicion_t state) {
+  size_t count_in (mt_suspicion_t state) {
     size_t count = 0;
     for (auto &r : routers)
       count += mt_suspects_state(&r->suspects, kDigest, now) == state;
@@ -379,7 +380,7 @@
   }
 };
 
-TEST(SuspectExchange, AllKnowWithinTheTimeThatIsAllowed) {
+TEST(SuspectExchange, AllRoutersConvergeWithinTheBound) {
   struct Row {
     const char *what;
     int routers;
@@ -395,14 +396,14 @@
       Fleet f(row.routers, seed, row.lost);
       size_t n = (size_t)row.routers;
       f.ended(0, 'a');
-      EXPECT_LE(f.that_are(MT_SUSPICION_NOTED), 1u); // its owner's alone
+      EXPECT_LE(f.count_in(MT_SUSPICION_NOTED), 1u); // its owner's alone
       f.ended(1 % n, 'b');
       f.pass(2500);
-      EXPECT_EQ(f.that_are(MT_SUSPICION_PROBATION), n);
+      EXPECT_EQ(f.count_in(MT_SUSPICION_PROBATION), n);
       f.ended(2 % n, 'c', true);
       f.ended(3 % n, 'd', true);
       f.pass(2500);
-      EXPECT_EQ(f.that_are(MT_SUSPICION_QUARANTINE), n);
+      EXPECT_EQ(f.count_in(MT_SUSPICION_QUARANTINE), n);
     }
 }
 
@@ -412,39 +413,39 @@
   f.ended(1, 'b');
   EXPECT_EQ(f.attempt(0), MT_TRIAL_GRANTED);
   for (size_t i = 1; i < 6; i++) EXPECT_EQ(f.attempt(i), MT_TRIAL_BUSY);
-  f.say(0, MT_WORD_RELEASE);
+  f.send_message(0, MT_SUSPECT_MESSAGE_RELEASE);
   EXPECT_EQ(f.attempt(3), MT_TRIAL_GRANTED);
-  f.say(3, MT_WORD_ANSWERED);
-  EXPECT_EQ(f.that_are(MT_SUSPICION_PROBATION), 0u);
+  f.send_message(3, MT_SUSPECT_MESSAGE_ANSWERED);
+  EXPECT_EQ(f.count_in(MT_SUSPICION_PROBATION), 0u);
   for (size_t i = 0; i < 6; i++) EXPECT_EQ(f.attempt(i), MT_TRIAL_FREE);
 }
 
 TEST(SuspectExchange, OneSuspectAtAnEngine) {
   Fleet f(6, 9);
-  f.say(1, MT_WORD_HOLD, 'e');
+  f.send_message(1, MT_SUSPECT_MESSAGE_LEASE_ENGINE, 'e');
   EXPECT_EQ(f.routers[1]->verdict, MT_TRIAL_GRANTED);
-  f.say(2, MT_WORD_HOLD, 'e');
+  f.send_message(2, MT_SUSPECT_MESSAGE_LEASE_ENGINE, 'e');
   EXPECT_EQ(f.routers[2]->verdict, MT_TRIAL_BUSY);
-  f.say(3, MT_WORD_HOLD, 'f');
+  f.send_message(3, MT_SUSPECT_MESSAGE_LEASE_ENGINE, 'f');
   EXPECT_EQ(f.routers[3]->verdict, MT_TRIAL_GRANTED);
-  f.say(1, MT_WORD_DROP, 'e');
-  f.say(2, MT_WORD_HOLD, 'e');
+  f.send_message(1, MT_SUSPECT_MESSAGE_RELEASE_ENGINE, 'e');
+  f.send_message(2, MT_SUSPECT_MESSAGE_LEASE_ENGINE, 'e');
   EXPECT_EQ(f.routers[2]->verdict, MT_TRIAL_GRANTED);
 }
 
 // A popular request is answered somewhere all the time.
-TEST(SuspectExchange, WhoAnsweredItObjects) {
+TEST(SuspectExchange, RouterThatAnsweredClearsTheSuspect) {
   Fleet f(6, 5);
   f.ended(0, 'a');
   f.pass(1000);
   mt_suspects_note_answer(&f.routers[4]->suspects, kDigest, f.now);
   f.pass(1000);
   f.ended(1, 'b');
-  EXPECT_EQ(f.that_are(MT_SUSPICION_PROBATION), 0u);
+  EXPECT_EQ(f.count_in(MT_SUSPICION_PROBATION), 0u);
   EXPECT_EQ(f.attempt(2), MT_TRIAL_FREE);
 }
 
-TEST(SuspectExchange, OutlivesItsOwnerAndRestarts) {
+TEST(SuspectExchange, SurvivesRestartsOfAllRouters) {
   Fleet f(6, 6);
   f.ended(0, 'a');
   f.ended(1, 'b');
@@ -458,28 +459,28 @@
   }
 }
 
-TEST(SuspectExchange, WhoWasCutOffHearsOfIt) {
+TEST(SuspectExchange, PartitionedRoutersCatchUp) {
   Fleet f(9, 7);
-  for (size_t i = 0; i < 9; i += 3) f.routers[i]->cut = true;
+  for (size_t i = 0; i < 9; i += 3) f.routers[i]->partitioned = true;
   f.pass(4000);
   f.ended(1, 'a');
   f.ended(2, 'b');
   f.ended(4, 'c', true);
   f.ended(5, 'd', true);
   f.pass(1000);
-  EXPECT_EQ(f.that_are(MT_SUSPICION_QUARANTINE), 6u);
-  for (auto &r : f.routers) r->cut = false;
+  EXPECT_EQ(f.count_in(MT_SUSPICION_QUARANTINE), 6u);
+  for (auto &r : f.routers) r->partitioned = false;
   f.pass(2800);
-  EXPECT_EQ(f.that_are(MT_SUSPICION_QUARANTINE), 9u);
+  EXPECT_EQ(f.count_in(MT_SUSPICION_QUARANTINE), 9u);
 }
 
 // What a router sends while nothing happens, with ten known.
-TEST(SuspectExchange, CostsLittle) {
+TEST(SuspectExchange, IdleTrafficIsBounded) {
   Fleet f(85, 8);
   for (uint64_t d = 1; d <= 10; d++) {
     const mt_suspect_row_t row = {
         d * 7, 3, {{d, 9, true}, {d + 1, 5, true}}, 2, 1, 0, 10, 1800000};
-    for (auto &r : f.routers) mt_suspects_take(&r->suspects, &row, f.now);
+    for (auto &r : f.routers) mt_suspects_merge(&r->suspects, &row, f.now);
   }
   f.bytes = 0;
   f.pass(10000);
