--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -8,7 +8,7 @@
 #include "gateway_peers.h"
 #include "drain_exchange.h"
 #include "load_teller.h"
-#include "prompt_memory.h"
+#include "kv_cache.h"
 #include "share_exchange.h"
 #include "suspect_exchange.h"
 
--- a/src/gateway/peer_message.h
+++ b/src/gateway/peer_message.h
@@ -11,7 +11,7 @@
 #include "change.h"
 #include "cold_start.h"
 #include "fair_share.h"
-#include "load_book.h"
+#include "load_table.h"
 #include "suspects.h"
 
 #define MT_PEER_DATAGRAM_MAX 16384
--- a/src/relay/prompt_memory.c
+++ b/src/relay/kv_cache.c
@@ -1,7 +1,7 @@
 /*
-** prompt_memory.c - what engines keep of a prompt, and moving it between them
+** kv_cache.c - what engines keep of a prompt, and moving it between them
 */
-#include "prompt_memory.h"
+#include "kv_cache.h"
 #include "quotes.h"
 
 #define TRANSFER_SETUP_MS 2.0 /* of a move, whatever its size */
--- a/src/relay/prompt_memory.h
+++ b/src/relay/kv_cache.h
@@ -1,5 +1,5 @@
 /*
-** prompt_memory.h - what engines keep of a prompt, and moving it between
+** kv_cache.h - what engines keep of a prompt, and moving it between
 ** them
 **
 ** An engine that has to read a prompt can take the part that another
--- a/src/relay/load_book.c
+++ b/src/relay/load_table.c
@@ -1,9 +1,9 @@
 /*
-** load_book.c - what every router has at the engines this router keeps
+** load_table.c - what every router has at the engines this router keeps
 */
 #include <stdlib.h>
 
-#include "load_book.h"
+#include "load_table.h"
 
 #define ROWS_MAX 1024     /* of one engine */
 #define ENGINES_MAX 16384 /* datagrams come from anybody, and name any */
--- a/src/relay/load_book.h
+++ b/src/relay/load_table.h
@@ -1,5 +1,5 @@
 /*
-** load_book.h - what every router has at the engines this router keeps
+** load_table.h - what every router has at the engines this router keeps
 **
 ** The owner of an engine is one of the routers. The others tell it their
 ** whole load there, so a lost or repeated message does no harm; what a router
--- a/src/relay/placement.h
+++ b/src/relay/placement.h
@@ -5,7 +5,7 @@
 #define placement_h
 
 #include "domain_load.h"
-#include "prompt_memory.h"
+#include "kv_cache.h"
 
 typedef struct mt_placement_t {
   mt_engine_t *engine; /* NULL: there is none to be had */
--- a/src/relay/read_time.c
+++ b/src/relay/prefill_time.c
@@ -1,15 +1,16 @@
 /*
-** read_time.c - how long the engines of a service take to read a prompt
+** prefill_time.c - how long the engines of a service take to read a prompt
 */
-#include "read_time.h"
+#include "prefill_time.h"
 
 #define DECAY 0.99 /* per request: some hundred are remembered */
 /* The declared rate counts as two requests: one of no tokens that took no
    time, and one that took this long. */
 #define PRIOR_MS 100.0
 #define PRIOR_COUNT 1.0
-#define SPEEDUP_MAX 16.0 /* times the declared rate; a flat line is no rate \
-                          */
+#define SPEEDUP_MAX                                       \
+  16.0 /* times the declared rate; a flat line is no rate \
+        */
 
 void mt_prefill_time_add (mt_prefill_time_t *t, double tokens, double ms) {
   t->count = t->count * DECAY + 1;
--- a/src/relay/read_time.h
+++ b/src/relay/prefill_time.h
@@ -1,5 +1,5 @@
 /*
-** read_time.h - how long the engines of a service take to read a prompt
+** prefill_time.h - how long the engines of a service take to read a prompt
 **
 ** The time from sending a request to its first event has a part that is
 ** always there (a step of the engine, its first token) and a part for
--- a/src/relay/part_holders.c
+++ b/src/relay/prefix_holders.c
@@ -1,9 +1,9 @@
 /*
-** part_holders.c - where shared parts of prompts were read away from home
+** prefix_holders.c - where shared parts of prompts were read away from home
 */
 #include <stdlib.h>
 
-#include "part_holders.h"
+#include "prefix_holders.h"
 
 #define HOLDER_TTL_MS \
   30000 /* engines drop what was not used for about as long */
--- a/src/relay/part_holders.h
+++ b/src/relay/prefix_holders.h
@@ -1,5 +1,5 @@
 /*
-** part_holders.h - where shared parts of prompts were read away from home
+** prefix_holders.h - where shared parts of prompts were read away from home
 **
 ** A part belongs at its home engine, but when that has too much to do it is
 ** read elsewhere, and no other router knows where. So whoever sends it there
--- a/src/relay/quarantine.c
+++ b/src/relay/quarantine.c
@@ -7,8 +7,9 @@
 #include "quarantine.h"
 
 #define VERDICT_TIMEOUT_MS 40 /* for the owner's answer */
-#define LEASE_SLACK_MS 1000 /* a trial's lease beyond the request's own end \
-                             */
+#define LEASE_SLACK_MS                                 \
+  1000 /* a trial's lease beyond the request's own end \
+        */
 #define LEASE_MAX_MS 30000
 #define LOST_RUN_TTL_MS 5000 /* an engine's entry lapses within that */
 #define REPORT_INTERVAL_MS \
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -16,9 +16,9 @@
 #include "evacuation.h"
 #include "event_stream.h"
 #include "fair_share.h"
-#include "load_book.h"
-#include "part_holders.h"
-#include "read_time.h"
+#include "load_table.h"
+#include "prefix_holders.h"
+#include "prefill_time.h"
 #include "retry_budget.h"
 #include "suspects.h"
 
--- a/src/relay/relay_load.c
+++ b/src/relay/relay_load.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "prompt_memory.h"
+#include "kv_cache.h"
 #include "quotes.h"
 #include "relay_load.h"
 
--- a/tests/engine_word_test.cc
+++ b/tests/engine_drain_backoff_test.cc
@@ -1,4 +1,5 @@
-// engine_word_test.cc - what the relay makes of an engine's word of itself
+// engine_drain_backoff_test.cc - what the relay makes of an engine's word of
+// itself
 #include <gtest/gtest.h>
 
 #include <utility>
--- a/tests/prompt_memory_test.cc
+++ b/tests/kv_cache_test.cc
@@ -1,4 +1,4 @@
-// prompt_memory_test.cc - engines take kept parts of prompts from each other.
+// kv_cache_test.cc - engines take kept parts of prompts from each other.
 #include <gtest/gtest.h>
 
 #include "gateway_world.h"
--- a/tests/read_time_test.cc
+++ b/tests/prefill_time_test.cc
@@ -1,4 +1,5 @@
-// read_time_test.cc - what is learnt of the time that reading prompts takes.
+// prefill_time_test.cc - what is learnt of the time that reading prompts
+// takes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/part_holders_test.cc
+++ b/tests/prefix_holders_test.cc
@@ -1,11 +1,11 @@
-// part_holders_test.cc - where parts were read away from their home.
+// prefix_holders_test.cc - where parts were read away from their home.
 #include <gtest/gtest.h>
 
 #include "relay.h"
 
 extern "C" {
-#include "part_holders.h"
-#include "prompt_memory.h"
+#include "prefix_holders.h"
+#include "kv_cache.h"
 }
 
 namespace {
