--- a/src/relay/catalog.c
+++ b/src/relay/catalog.c
@@ -1,5 +1,5 @@
 /*
-** catalog.c - one version of what the operators declared
+** catalog.c - one version of the operators' configuration
 */
 #include <ctype.h>
 #include <stdlib.h>
@@ -108,7 +108,7 @@
   mtV_put(&c->keys, hash, key);
 }
 
-/* Takes the same time whatever the difference. */
+/* Compares in constant time, so that timing does not reveal a key. */
 static bool equals_key (const mt_catalog_key_t *key, mt_bytes_t given) {
   unsigned char difference = 0;
   if (key->size != given.n) return false;
@@ -117,7 +117,7 @@
   return difference == 0;
 }
 
-/* The shortest objective of the stream routes to each service. */
+/* Sets each service's objective to the shortest of its stream routes. */
 static void set_objectives (mt_catalog_t *c) {
   for (size_t i = 0; i < c->services_count; i++) {
     mt_catalog_service_t *s = &c->services[i];
--- a/src/relay/catalog_diff.c
+++ b/src/relay/catalog_diff.c
@@ -1,5 +1,5 @@
 /*
-** catalog_diff.c - what one version of the declarations ends or allows anew
+** catalog_diff.c - keys and routes that differ between two configurations
 */
 #include <string.h>
 
@@ -8,7 +8,7 @@
 
 /* {== Keys ============================================================= */
 
-/* True when the key stands for the same workspace in both versions. */
+/* True if the key belongs to the same workspace in both versions. */
 static bool maps_to_same_workspace (const mt_catalog_t *in,
                                     const mt_catalog_key_t *key,
                                     const mt_catalog_t *of) {
@@ -17,7 +17,7 @@
   return w != NULL && w->id == of->workspaces[key->workspace].id;
 }
 
-/* Keys of one version that the other does not hold. */
+/* Reports the keys of one version that the other lacks. */
 static void
 report_missing_keys (const mt_catalog_t *of, const mt_catalog_t *other,
                      bool granted,
@@ -52,7 +52,7 @@
   return false;
 }
 
-/* What routes of one version lead to, and those of the other do not. */
+/* Reports the services of one version's routes that the other's lack. */
 static void
 report_missing_routes (const mt_catalog_t *of, const mt_catalog_t *other,
                        bool opened,
@@ -78,7 +78,7 @@
   report_missing_routes(to, from, true, callbacks);
 }
 
-/* {== What neighbours name ============================================= */
+/* {== Lookups for changes that other routers report ==================== */
 
 bool mt_catalog_routes_to (const mt_catalog_t *c, mt_id_t route,
                            mt_id_t service) {
--- a/src/relay/catalog_diff.h
+++ b/src/relay/catalog_diff.h
@@ -1,5 +1,5 @@
 /*
-** catalog_diff.h - what one version of the declarations ends or allows anew
+** catalog_diff.h - keys and routes that differ between two configurations
 */
 #ifndef catalog_diff_h
 #define catalog_diff_h
@@ -7,25 +7,28 @@
 #include "catalog.h"
 
 typedef struct mt_catalog_diff_callbacks_t {
+  /* A key was granted, or revoked. */
   void (*key)(void *ud, mt_bytes_t key, bool granted);
-  /* What a route leads to; a route that is gone leads to nothing. */
+  /* A route now leads to a service (`opened`), or no longer does; a removed
+     route leads to none. */
   void (*route)(void *ud, mt_id_t route, mt_id_t service, bool opened);
   void *ud;
 } mt_catalog_diff_callbacks_t;
 
 /*
-** Calls for each key and each route's service that only one of the versions
-** has. A route of the same name with another host or prefix is another route.
+** Reports each key and each service of a route that only one of the versions
+** has. A route that keeps its name but changes its host or prefix counts as
+** another route.
 */
 void mt_catalog_diff (const mt_catalog_t *from, const mt_catalog_t *to,
                       const mt_catalog_diff_callbacks_t *callbacks);
 
-/* True when the route leads to the service. */
+/* True if any of the route's traffic goes to the service. */
 bool mt_catalog_routes_to (const mt_catalog_t *catalog, mt_id_t route,
                            mt_id_t service);
 
 /*
-** Collects the SHA-256 digests, in hexadecimal, of all keys in a set: a map
+** Adds the hexadecimal SHA-256 digests of all keys to a set, which is a map
 ** by mt_catalog_digest_key. The caller frees it.
 */
 void mt_catalog_digests (const mt_catalog_t *catalog, mt_map_t *set);
--- a/src/relay/denials.c
+++ b/src/relay/denials.c
@@ -1,5 +1,5 @@
 /*
-** denials.c - what other routers say is no longer allowed
+** denials.c - keys and routes that other routers report as withdrawn
 */
 #include <stdio.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "denials.h"
 #include "mtcrypt.h"
 
-/* Its index, or the count. */
+/* The index of the key's denial, or the count if there is none. */
 static size_t find_key (const mt_denials_t *d, const char *digest) {
   size_t i = 0;
   while (i < d->keys_count && strcmp(d->keys[i].digest, digest) != 0) i++;
@@ -45,7 +45,7 @@
 
 bool mt_denials_has_key (const mt_denials_t *d, mt_bytes_t key) {
   char digest[MT_DIGEST_HEX + 1];
-  if (d->keys_count == 0) return false; /* as nearly always */
+  if (d->keys_count == 0) return false; /* the usual case needs no hash */
   mtH_sha256(key.p, key.n, digest);
   return find_key(d, digest) < d->keys_count;
 }
--- a/src/relay/denials.h
+++ b/src/relay/denials.h
@@ -1,10 +1,10 @@
 /*
-** denials.h - what other routers say is no longer allowed
+** denials.h - keys and routes that other routers report as withdrawn
 **
-** A router that the source of declarations turns away still hears from
-** others that a key was revoked or that a route no longer leads to a
-** service. It then refuses what its own declarations would allow, until it
-** has read newer ones.
+** A router that cannot read the configuration from its source still learns
+** from other routers that a key was revoked or that a route no longer leads
+** to a service. It then refuses what its own configuration would allow, until
+** it has read a newer one.
 */
 #ifndef denials_h
 #define denials_h
@@ -12,8 +12,8 @@
 #include "revision.h"
 
 typedef struct mt_denied_key_t {
-  char digest[MT_DIGEST_HEX + 1]; /* of the key, never the key itself */
-  mt_revision_t rev;              /* of the source, as it was revoked */
+  char digest[MT_DIGEST_HEX + 1]; /* SHA-256 of the key, hexadecimal */
+  mt_revision_t rev;              /* source revision of the revocation */
 } mt_denied_key_t;
 
 typedef struct mt_denied_route_t {
@@ -21,7 +21,7 @@
   mt_revision_t rev;
 } mt_denied_route_t;
 
-#define MT_DENIALS_MAX 256 /* of each kind; more are passed over */
+#define MT_DENIALS_MAX 256 /* of each kind; further ones are ignored */
 
 typedef struct mt_denials_t {
   mt_denied_key_t keys[MT_DENIALS_MAX];
@@ -30,7 +30,7 @@
   size_t routes_count;
 } mt_denials_t;
 
-/* Denies something (`on`) or allows it again. */
+/* Adds a denial (`on`) or lifts it. */
 void mt_denials_set_key (mt_denials_t *denials, const char *digest,
                          mt_revision_t rev, bool on);
 void mt_denials_set_route (mt_denials_t *denials, mt_id_t route,
@@ -40,7 +40,8 @@
 bool mt_denials_has_route (const mt_denials_t *denials, mt_id_t route,
                            mt_id_t service);
 
-/* The declarations of that revision are in force: they say it themselves. */
+/* Drops denials up to the revision of the configuration now in force, which
+   contains them. */
 void mt_denials_prune (mt_denials_t *denials, mt_revision_t rev);
 
 #endif
--- a/src/relay/early_drains.c
+++ b/src/relay/early_drains.c
@@ -1,5 +1,5 @@
 /*
-** early_drains.c - drain notices that come before their engine is listed
+** early_drains.c - drain notices that arrive before their engine is listed
 */
 #include "early_drains.h"
 
--- a/src/relay/early_drains.h
+++ b/src/relay/early_drains.h
@@ -1,19 +1,19 @@
 /*
-** early_drains.h - drain notices that come before their engine is listed
+** early_drains.h - drain notices that arrive before their engine is listed
 **
-** Routers read the source at different times, so one may hear that an engine
-** drains before it lists that engine. The table is bounded, since
-** datagrams come from anybody.
+** Routers read the list of engines at different times, so a drain notice may
+** arrive from a peer before its engine is listed here. The table is bounded,
+** since datagrams are not authenticated.
 */
 #ifndef early_drains_h
 #define early_drains_h
 
 #include "engine.h"
 
-#define MT_EARLY_DRAINS_MAX 256 /* beyond, the oldest is dropped */
+#define MT_EARLY_DRAINS_MAX 256 /* a further one replaces the oldest */
 
 typedef struct mt_early_drain_t {
-  uint64_t engine;
+  uint64_t engine; /* key */
   mt_engine_drain_t drain;
 } mt_early_drain_t;
 
@@ -22,11 +22,12 @@
   size_t count;
 } mt_early_drains_t;
 
-/* Keeps the notice; of one engine, that of its latest start. */
+/* Adds a notice; of one engine the one of its latest incarnation is kept, and
+   of that the newest. */
 void mt_early_drains_add (mt_early_drains_t *drains, uint64_t engine,
                           const mt_engine_drain_t *drain);
 
-/* Takes the engine's notice out of the table; false when there is none. */
+/* Removes the engine's notice and returns it; false if there is none. */
 bool mt_early_drains_take (mt_early_drains_t *drains, uint64_t engine,
                            mt_engine_drain_t *drain);
 
--- a/src/relay/engine.c
+++ b/src/relay/engine.c
@@ -1,5 +1,5 @@
 /*
-** engine.c - the table of engines
+** engine.c - the engine table: state, load and cached prefixes of each engine
 */
 #include <math.h>
 #include <stdlib.h>
@@ -7,22 +7,23 @@
 
 #include "engine.h"
 
+/* Suspension after repeated failures: doubles with each further one. */
 #define SUSPEND_FIRST_MS 200
 #define SUSPEND_MAX_MS 3200
-#define PROBE_INTERVAL_MS 200 /* between tries to reach one */
-#define FAILURES_TOLERATED 1  /* in a row that do not hold it yet */
-/* An engine that turns requests away knows little of what comes after a
-   minute, and one that says a year by mistake is not to be lost. */
+#define PROBE_INTERVAL_MS 200 /* between probes of an unreachable engine */
+#define FAILURES_TOLERATED 1  /* in a row, without a suspension */
+/* An overloaded engine cannot predict its load beyond a minute, and a backoff
+   of a year, sent by mistake, must not disable it. */
 #define BACKOFF_MAX_MS 60000
-/* Part of a backoff by which its end may be put off: many routers are
-   rejected in the same moment, and would come back in the same one. */
+/* Up to a tenth of a backoff is added at random: many routers are rejected at
+   the same moment and would otherwise return at the same moment. */
 #define BACKOFF_JITTER_DIVISOR 10
-/* An engine that turns a request away does so at once: one that has not in
-   that time takes it. */
+/* Engines reject at once: a trial request counts as accepted if it has not
+   been rejected in this time. */
 #define HALF_OPEN_MS 100
 #define REJECTION_WEIGHT 0.2      /* of one attempt in the rejection rate */
 #define REJECTION_DECAY_MS 2000.0 /* time constant without attempts */
-#define REJECTION_SUSPEND_MS 30   /* no work behind a rejection */
+#define REJECTION_SUSPEND_MS 30   /* suspension after a rejection */
 
 uint64_t mt_engine_key (const char *name, size_t size) {
   return mtV_hash(name, size) | 1;
@@ -54,7 +55,7 @@
   free(e);
 }
 
-/* {== Those that a tick looks at ======================================= */
+/* {== Active engines =================================================== */
 
 static void activate (mt_engine_t *e) {
   mt_engines_t *t = e->table;
@@ -141,9 +142,9 @@
     return false;
   if (known && drain->gossiped && drain->since <= e->drain.since)
     return false;
-  bool told = drain->gossiped && (!known || e->drain.gossiped);
+  bool gossiped_only = drain->gossiped && (!known || e->drain.gossiped);
   e->drain = *drain;
-  e->drain.gossiped = told;
+  e->drain.gossiped = gossiped_only;
   return !known && mt_engine_is_draining(e, now);
 }
 
@@ -211,8 +212,8 @@
   e->failures = 0;
   e->suspended_until = 0;
   e->rejection_rate = 0;
-  /* A backoff stays: the start answers before it is listed, so that it may be
-     the one that asked for it. */
+  /* The backoff stays: a new incarnation answers before it is listed and may
+     have asked for it already. */
   if (e->drain.started_at <= e->started_at) e->drain = (mt_engine_drain_t){0};
   e->unreachable = false;
   e->last_received = 0;
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -1,9 +1,9 @@
 /*
-** engine.h - the table of engines: what is known of each and of its load
+** engine.h - the engine table: state, load and cached prefixes of each engine
 **
-** An engine here is a start of a server: one that starts again under its name
-** holds nothing of before. Loads are what this router sent and what the other
-** routers say they sent.
+** An entry stands for one incarnation of an engine: a process that starts
+** again under the same name has nothing cached and runs nothing. Its load is
+** what this router sent there plus what the other routers report.
 */
 #ifndef engine_h
 #define engine_h
@@ -13,42 +13,43 @@
 
 typedef enum mt_engine_state_t {
   MT_ENGINE_READY,
-  MT_ENGINE_DRAINING, /* finishes its work, gets none */
-  MT_ENGINE_GONE      /* no longer listed */
+  MT_ENGINE_DRAINING, /* finishes its requests and gets no new ones */
+  MT_ENGINE_GONE      /* removed from the list, or replaced at its address */
 } mt_engine_state_t;
 
-/* What an answer of an engine advertises of the engine. */
+/* What an engine advertises about itself in an answer. */
 typedef struct mt_engine_notice_t {
-  bool draining;   /* it ends soon and is to get no new work */
-  mt_ms_t backoff; /* it asks this router to send nothing for so long; 0: it
-                      does not */
+  bool draining;   /* it shuts down soon and accepts no new requests */
+  mt_ms_t backoff; /* how long to send it no requests; 0: no backoff */
 } mt_engine_notice_t;
 
-/* A drain that other routers gossip counts for so long: datagrams come from
-   anybody, and one of them must not take an engine away for good. */
+/* A drain reported by other routers is believed this long: datagrams are not
+   authenticated, so a forged one must not disable an engine for good. */
 #define MT_ENGINE_DRAIN_GOSSIP_TTL_MS 60000
 
-/* That an engine drains, as it advertises itself. */
+/* A drain that an engine advertised itself. */
 typedef struct mt_engine_drain_t {
-  mt_ms_t since;      /* it last did so then; 0: never */
-  int64_t started_at; /* the start of it that did; 0: not known */
-  bool gossiped;      /* other routers heard it, not this one */
+  mt_ms_t since;      /* when it was last advertised; 0: never */
+  int64_t started_at; /* incarnation that advertised it; 0: unknown */
+  bool gossiped;      /* known from other routers only */
 } mt_engine_drain_t;
 
-/* Work at an engine. */
+/* Load at an engine. */
 typedef struct mt_engine_load_t {
-  int64_t pending_prefill; /* prompt tokens sent and not yet answered by an
-                              event */
-  int64_t held; /* tokens that running requests hold for themselves */
-  int32_t running;
+  /* Prompt tokens sent and not prefilled yet: a request's prefill ends with
+     its first token. */
+  int64_t pending_prefill;
+  /* KV cache tokens of running requests, without shared prompt segments. */
+  int64_t held;
+  int32_t running; /* requests in progress */
 } mt_engine_load_t;
 
 typedef struct mt_engine_t {
-  struct mt_engines_t *table; /* that it stands in */
+  struct mt_engines_t *table; /* the table that contains it */
   size_t list_index;          /* its index in the table's list */
-  bool active;                /* it stands in the list that ticks look at */
+  bool active;                /* it is in the table's list of active ones */
   uint64_t key;               /* hash of its name; never 0 */
-  int64_t started_at; /* which start of that name it is; 0: not told */
+  int64_t started_at;         /* of its process, ms since 1970; 0: unknown */
   char *name, *domain;
   mt_id_t domain_id;
   char ip[46];
@@ -57,119 +58,121 @@
   int slots;
   mt_engine_state_t state;
   bool remote;            /* in another failure domain than this router */
-  bool evacuated;         /* the operators emptied its failure domain */
-  mt_ms_t unlisted_since; /* it left the list without a word then; 0: it did
-                             not */
-  mt_ms_t removed_at;     /* gone since */
-  mt_revision_t rev;      /* of the source, as it last told of it */
-  mt_engine_load_t local, peers;
-  mt_ms_t quoted;  /* its owner last told `peers` then; 0: never */
-  bool load_dirty; /* `local` has changed since its owner was told */
-  mt_ms_t told;    /* its owner was told last then */
-  double slowness; /* time to first event, seen over expected; 1: usual */
+  bool evacuated;         /* operators have evacuated its failure domain */
+  mt_ms_t unlisted_since; /* left the list without draining; 0: listed */
+  mt_ms_t removed_at;     /* when it became MT_ENGINE_GONE */
+  mt_revision_t rev;      /* of the source's latest change to its entry */
+  mt_engine_load_t local, peers; /* of this router; of all other routers */
+  mt_ms_t quoted;  /* when its owner last reported `peers`; 0: never */
+  bool load_dirty; /* `local` has changed since it was sent to the owner */
+  mt_ms_t told;    /* when `local` was last sent to the owner */
+  double slowness; /* time to first token, measured over expected; smoothed */
   int failures;    /* in a row */
   double rejection_rate;   /* of this router's attempts, as of `rate_at` */
-  mt_ms_t rate_at;         /* it last took or rejected one; 0: never */
-  mt_ms_t suspended_until; /* gets no work before this time */
-  mt_ms_t backoff;         /* it asked for none until then; 0: no */
-  mt_ms_t half_open_since; /* the first request behind it went then; 0: none
-                              has */
+  mt_ms_t rate_at;         /* last accepted or rejected attempt; 0: none */
+  mt_ms_t suspended_until; /* gets no requests before this time */
+  mt_ms_t backoff;         /* end of the backoff that it asked for; 0: none */
+  mt_ms_t half_open_since; /* when the trial request was sent; 0: not yet */
   mt_engine_drain_t drain;
-  bool unreachable;      /* no connection comes up: no work until one does */
-  bool probing;          /* one is being tried */
-  mt_ms_t probe;         /* the next is tried then */
-  mt_ms_t last_received; /* last byte of any answer */
-  mt_prefix_cache_t cached;
-  int64_t
-      tokens_processed; /* tokens read or made there for this router, ever */
+  bool unreachable; /* the last connection attempt failed: no requests until
+                       one succeeds */
+  bool probing;     /* a probe is in progress */
+  mt_ms_t probe;    /* time of the next probe */
+  mt_ms_t last_received;    /* when it last answered anything */
+  mt_prefix_cache_t cached; /* prompt segments that it probably has cached */
+  int64_t tokens_processed; /* of this router's requests, prompt and output */
 } mt_engine_t;
 
 typedef struct mt_engines_t {
   mt_map_t by_key;
   mt_engine_t **list;
   size_t count, cap;
-  /* Those that a tick may have to do something about: a router of a large
-     fleet uses few of its engines. */
+  /* Engines that ticks check: those with unreported load or running requests
+     and those out of reach. A router of a large fleet uses few of its
+     engines, so ticks do not scan them all. */
   mt_engine_t **active;
   size_t active_count, active_cap;
 } mt_engines_t;
 
+/* The key of an engine's name. */
 uint64_t mt_engine_key (const char *name, size_t size);
 
-/* The engine of that name, made if it is new. */
+/* The engine of that name, added if it is new. */
 mt_engine_t *mt_engines_add (mt_engines_t *engines, const char *name);
+/* NULL if there is none. */
 mt_engine_t *mt_engines_get (const mt_engines_t *engines, uint64_t key);
-/* Forgets one for good; nothing may refer to it any more. */
+/* Frees an engine; no pointer to it may remain in use. */
 void mt_engines_remove (mt_engines_t *engines, mt_engine_t *engine);
 void mt_engines_free (mt_engines_t *engines);
 
-/* The router's load there has changed, which its owner is to be told. */
+/* Marks this router's load there as changed since it was reported. */
 void mt_engine_load_changed (mt_engine_t *engine);
 
-/* Takes those from the list of attended ones that have no load of this router
-   that was not told, run nothing for it and are not out of reach. */
+/* Removes engines from the active list that are reachable, run nothing for
+   this router and have no unreported load. */
 void mt_engines_prune_active (mt_engines_t *engines);
 
-/* Notes a failure of the engine itself: it gets no work for a growing while.
- */
+/* Records a failure of the engine itself: after repeated failures it gets no
+   requests for a time that doubles with each further one. */
 void mt_engine_failed (mt_engine_t *engine, mt_ms_t now);
+/* Records a success, which clears its failures and suspension. */
 void mt_engine_succeeded (mt_engine_t *engine, mt_ms_t now);
 
 /*
-** Takes that a start of it drains. False when that was known, or it is an
-** earlier start's.
+** Records that an incarnation of it drains. False if that was known already
+** or the notice is of an earlier incarnation.
 */
 bool mt_engine_apply_drain (mt_engine_t *engine,
                             const mt_engine_drain_t *drain, mt_ms_t now);
 
-/* True while its present start is believed to drain. */
+/* True while its current incarnation is believed to drain. */
 bool mt_engine_is_draining (const mt_engine_t *engine, mt_ms_t now);
 
 /*
-** True for one that is listed as ready and does not drain. What it advertises
-** itself stands against the list: a list may be old, and the source may not
-** answer.
+** True if it is listed as ready and does not drain. A drain that the engine
+** advertises overrides the list, which may be stale while the source is
+** unavailable.
 */
 bool mt_engine_is_available (const mt_engine_t *engine, mt_ms_t now);
 
 /*
-** It asked this router to back off; of several times the longest counts.
-** False when the router did so already.
+** Starts or extends a backoff that it asked for, up to a limit and with
+** jitter; of several the latest end counts. True if none was in effect.
 */
 bool mt_engine_set_backoff (mt_engine_t *engine, mt_ms_t backoff,
                             mt_ms_t now);
 
 /*
-** How long until it is known whether its backoff is over: behind it one
-** request goes first, and the others when that was not rejected. 0: there is
-** none.
+** Time until it may get a request; 0: now. When a backoff ends, one request
+** is sent as a trial (half-open state); the others wait until the engine has
+** accepted it or has had time enough to reject it.
 */
 mt_ms_t mt_engine_backoff_left (const mt_engine_t *engine, mt_ms_t now);
 
-/* True for one that stays and asks for no backoff: it may get a request. */
+/* True if it is available and no backoff keeps requests from it. */
 bool mt_engine_takes_work (const mt_engine_t *engine, mt_ms_t now);
 
-/* A request goes to it. */
+/* Records that a request is sent to it. */
 void mt_engine_request_sent (mt_engine_t *engine, mt_ms_t now);
 
-/* It took the request that went to it at `sent`. */
+/* Records that it accepted the request sent at `sent`. */
 void mt_engine_request_accepted (mt_engine_t *engine, mt_ms_t sent,
                                  mt_ms_t now);
 
-/* It rejected a request without running it. */
+/* Records that it rejected a request without running it. */
 void mt_engine_request_rejected (mt_engine_t *engine, mt_ms_t now);
 
 /*
-** Part of this router's latest attempts that it rejected, 0 to 1. Fades
-** without attempts, so that an engine is tried again.
+** Share of this router's recent attempts that it rejected, 0 to 1. Decays
+** without attempts, so that the engine is tried again.
 */
 double mt_engine_rejection_rate (const mt_engine_t *engine, mt_ms_t now);
 
-/* It has started again: nothing that is believed of it holds, but for a
-   backoff that it asked for. */
+/* Resets what is believed of it after a restart, except for a backoff and for
+   a drain of its new incarnation. */
 void mt_engine_restarted (mt_engine_t *engine);
 
-/* A connection to it came up, or did not: then another is tried soon. */
+/* Records whether a connection to it came up; if not, a probe follows. */
 void mt_engine_set_reachable (mt_engine_t *engine, bool up, mt_ms_t now);
 
 #endif
--- a/src/relay/revision.c
+++ b/src/relay/revision.c
@@ -1,5 +1,5 @@
 /*
-** revision.c - a point in the history of the source of declarations
+** revision.c - revision numbers of the configuration source
 */
 #include <inttypes.h>
 #include <stdio.h>
--- a/src/relay/revision.h
+++ b/src/relay/revision.h
@@ -1,10 +1,10 @@
 /*
-** revision.h - a point in the history of the source of declarations
+** revision.h - revision numbers of the configuration source
 **
-** The source counts its changes. When it is restored from a copy it goes on
-** from the copy's count, which begins a new era. A revision holds the era
-** above the count, so revisions compare as plain numbers: whatever is of a
-** later era is newer.
+** The source counts its changes. When it is restored from a backup it goes on
+** from the backup's count, which begins a new era. The bits of a revision
+** above the count hold the era, so revisions compare as plain integers and a
+** later era is always newer.
 */
 #ifndef revision_h
 #define revision_h
@@ -17,10 +17,10 @@
   (((int64_t)1 << (63 - MT_REVISION_COUNT_BITS)) - 1)
 #define MT_REVISION_TEXT_SIZE 32
 
-/* 0: none. A source that names no era is in era 0. */
+/* 0: none. A source that reports no era is in era 0. */
 typedef int64_t mt_revision_t;
 
-/* Out of range, the nearest that fits. */
+/* Values out of range are clamped. */
 static inline mt_revision_t mt_revision (int64_t era, int64_t count) {
   era = mt_min(mt_max(era, (int64_t)0), MT_REVISION_ERA_MAX);
   count = mt_min(mt_max(count, (int64_t)0), MT_REVISION_COUNT_MAX);
