--- a/src/relay/fair_share.c
+++ b/src/relay/fair_share.c
@@ -1,5 +1,5 @@
 /*
-** fair_share.c - who has had its share: max-min over the whole fleet
+** fair_share.c - max-min fair shares of workspaces over the whole fleet
 */
 #include <math.h>
 #include <stdlib.h>
@@ -7,13 +7,14 @@
 #include "fair_share.h"
 
 #define DECAY_MS 1000.0 /* time constant of the rates */
-/* Served below this part of asked: some are short. */
+/* Total served below this part of total demand: capacity is scarce. */
 #define SCARCITY_RATIO 0.97
-#define BACKLOG_RATIO 0.9 /* served below this part of asked: wants more */
-/* Served below this part of the level: its engines are not there, and what it
-   lacks is no reason to refuse others. */
+/* A workspace served below this part of its demand is backlogged. */
+#define BACKLOG_RATIO 0.9
+/* Served below this part of the level: its engines are unavailable, so its
+   backlog is no reason to refuse other workspaces. */
 #define REACHABLE_RATIO 0.03
-#define IDLE_RATE 0.01 /* tokens a second that count as none */
+#define IDLE_RATE 0.01 /* tokens/s; lower rates count as 0 */
 
 void mt_fair_share_free (mt_fair_share_t *s) {
   for (size_t i = 0; i < s->count; i++) free(s->list[i]);
@@ -37,7 +38,7 @@
   return mt_fair_share_get(s, workspace);
 }
 
-/* An amount as an addition to a rate that fades with DECAY_MS. */
+/* What an amount adds to a rate that decays with DECAY_MS, tokens/s. */
 static double as_rate (int64_t tokens) {
   return (double)tokens * 1000.0 / DECAY_MS;
 }
@@ -85,7 +86,8 @@
   return (x > y) - (x < y);
 }
 
-/* Fills up from the least: who asks for less than an even part gets all. */
+/* Progressive filling from the smallest demand: a workspace that asks for
+   less than an even part of the remaining capacity is served in full. */
 static double water_level (mt_fair_share_t *s, double capacity) {
   qsort(s->list, s->count, sizeof *s->list, by_asked);
   size_t left = 0;
@@ -98,7 +100,8 @@
   return 0;
 }
 
-/* Who got most of those that ask for more than the level. */
+/* Finds the highest service ratio of workspaces that ask for more than the
+   level. */
 static void find_max_service_ratio (mt_fair_share_t *s) {
   s->max_service_ratio = 1;
   if (s->level <= 0) return;
@@ -114,6 +117,7 @@
          served(w) > REACHABLE_RATIO * s->level;
 }
 
+/* Finds the lowest service ratio of backlogged workspaces. */
 static void find_min_service_ratio (mt_fair_share_t *s, double declared) {
   s->min_service_ratio = 0;
   if (s->level <= 0 || declared <= 0) return;
--- a/src/relay/fair_share.h
+++ b/src/relay/fair_share.h
@@ -1,69 +1,72 @@
 /*
-** fair_share.h - who has had its share: max-min over the whole fleet
+** fair_share.h - max-min fair shares of workspaces over the whole fleet
 **
-** Each router keeps what its workspaces asked for and got, as rates that
-** fade; the other routers tell theirs. The level is the rate at which
-** backlogged workspaces share what the engines give: whoever asks for less
-** gets all.
+** Each router measures how many tokens its workspaces ask for and are served,
+** as exponentially decaying rates, and receives the rates of the other
+** routers. The level is the max-min fair share of a backlogged workspace:
+** those that ask for less than the level are served in full. A workspace's
+** service ratio is its served rate as a multiple of the level.
 */
 #ifndef fair_share_h
 #define fair_share_h
 
 #include "mtmem.h"
 
-#define MT_FAIR_SHARE_WORKSPACES_MAX \
-  8192 /* workspaces that other routers may name */
+/* Workspaces in the table before other routers can add no more. */
+#define MT_FAIR_SHARE_WORKSPACES_MAX 8192
 
-/* Rates of one workspace, in tokens a second. */
+/* Rates of one workspace, tokens/s. */
 typedef struct mt_share_rates_t {
   double asked, served;
 } mt_share_rates_t;
 
 typedef struct mt_share_t {
   mt_id_t workspace;
-  mt_share_rates_t local, peers;
+  mt_share_rates_t local, peers; /* at this router; at all other routers */
 } mt_share_t;
 
 typedef struct mt_fair_share_t {
   mt_map_t by_id;
   mt_share_t **list;
   size_t count, cap;
-  mt_ms_t decayed_at; /* when rates were last made to fade */
-  double level;       /* a backlogged workspace's share; 0: nobody is short */
-  double max_service_ratio; /* standing of the backlogged one that got most,
-                               at least 1 */
-  /* Standing of the one that got least of the backlogged ones that can be
-     served. 0 where there is none, and where it is not declared what the
-     engines give: then a level goes by what was served, and would fall with
-     what is refused. */
+  mt_ms_t decayed_at; /* when the rates were last decayed */
+  double level;       /* tokens/s; 0: all demand is served */
+  /* Highest service ratio of a backlogged workspace, at least 1. */
+  double max_service_ratio;
+  /* Lowest one of a backlogged workspace whose engines can serve it. 0 if
+     there is none, and if the capacity is not configured: the level then
+     follows the served rates, so that limits based on it would fall with each
+     refusal. */
   double min_service_ratio;
 } mt_fair_share_t;
 
 void mt_fair_share_free (mt_fair_share_t *shares);
+/* The workspace's entry, added if it is new. */
 mt_share_t *mt_fair_share_get (mt_fair_share_t *shares, mt_id_t workspace);
 
-/* The same for one that another router names, which may be forged. NULL for
-   a new one where MT_FAIR_SHARE_WORKSPACES_MAX are known. */
+/* The same for a workspace that another router names, which may be forged:
+   NULL if it is new and the table has MT_FAIR_SHARE_WORKSPACES_MAX entries.
+ */
 mt_share_t *mt_fair_share_of_peer (mt_fair_share_t *shares,
                                    mt_id_t workspace);
 
+/* Add tokens to the demand or the service of a workspace at this router. */
 void mt_fair_share_record_demand (mt_fair_share_t *shares, mt_id_t workspace,
                                   int64_t tokens);
 void mt_fair_share_record_served (mt_fair_share_t *shares, mt_id_t workspace,
                                   int64_t tokens);
 
 /*
-** Lets rates fade up to now, forgets workspaces without any, and works out
-** the level anew. `declared` is what the engines give together by the
-** operators' word, in tokens a second: a router that serves less must not
-** take that for the engines' limit. 0: not told.
+** Decays the rates, drops idle workspaces and recomputes the level.
+** `declared`: the configured capacity of all engines together, tokens/s, so
+** that a lower served rate is not taken for their capacity. 0: unknown.
 */
 void mt_fair_share_update (mt_fair_share_t *shares, double declared,
                            mt_ms_t now);
 
 /*
-** What the workspace got, as a multiple of the level; below 1 it is owed
-** more. Always 0 while nobody is short.
+** Served rate of the workspace as a multiple of the level; below 1 it has had
+** less than its share. 0 while all demand is served.
 */
 double mt_fair_share_service_ratio (mt_fair_share_t *shares,
                                     mt_id_t workspace);
--- a/src/relay/kv_cache.c
+++ b/src/relay/kv_cache.c
@@ -1,12 +1,12 @@
 /*
-** kv_cache.c - what engines keep of a prompt, and moving it between them
+** kv_cache.c - cached prefixes of a prompt, and KV transfers between engines
 */
 #include "kv_cache.h"
 #include "quotes.h"
 
-#define TRANSFER_SETUP_MS 2.0 /* of a move, whatever its size */
-#define TRANSFER_MIN_TOKENS \
-  128 /* fewer are read faster than a move is set up */
+#define TRANSFER_SETUP_MS 2.0 /* fixed cost of a transfer */
+/* The prefill of fewer tokens is faster than the setup of a transfer. */
+#define TRANSFER_MIN_TOKENS 128
 #define BITS_PER_BYTE 8
 #define BITS_PER_MS_PER_MBPS 1000.0
 
@@ -36,13 +36,13 @@
 int64_t mt_kv_cache_cached_tokens (const mt_relay_request_t *r,
                                    const mt_engine_t *e,
                                    int64_t kv_capacity) {
-  const mt_relay_candidate_t *told = mt_quotes_find(r, e->key);
-  if (told != NULL && told->quoted) return told->cached;
+  const mt_relay_candidate_t *candidate = mt_quotes_find(r, e->key);
+  if (candidate != NULL && candidate->quoted) return candidate->cached;
   return mt_prefix_cache_match(&e->cached, r->parts, r->parts_count,
                                mt_kv_cache_available(e, kv_capacity));
 }
 
-/* What is suspect may never answer: the request would wait for the move. */
+/* A failing engine may never answer, and the request would wait for it. */
 static bool can_be_source (const mt_relay_t *relay,
                            const mt_relay_request_t *r,
                            const mt_engine_t *e) {
@@ -52,7 +52,7 @@
   return e->failures == 0 && e->unlisted_since == 0;
 }
 
-/* An engine that some owner names as holder of all shared parts. */
+/* A usable engine that an owner reported as holder of the shared segments. */
 static mt_engine_t *reported_holder (const mt_relay_t *relay,
                                      const mt_relay_request_t *r) {
   if (relay->terms.off[MT_RELAY_HOLDERS]) return NULL;
@@ -87,16 +87,17 @@
 }
 
 mt_kv_fetch_t mt_kv_cache_plan_fetch (const mt_catalog_service_t *service,
-                                      mt_engine_t *source, int64_t there,
+                                      mt_engine_t *source,
+                                      int64_t source_tokens,
                                       const mt_engine_t *to, int64_t cached,
                                       double ms_per_token) {
-  int64_t more = there - cached;
-  if (source == NULL || source == to || more < TRANSFER_MIN_TOKENS)
+  int64_t saved = source_tokens - cached;
+  if (source == NULL || source == to || saved < TRANSFER_MIN_TOKENS)
     return (mt_kv_fetch_t){.source = NULL};
-  double bits = (double)(more * service->kv_bytes_per_token * BITS_PER_BYTE);
+  double bits = (double)(saved * service->kv_bytes_per_token * BITS_PER_BYTE);
   double ms =
       TRANSFER_SETUP_MS + bits / (service->link_mbps * BITS_PER_MS_PER_MBPS);
-  if (ms >= (double)more * ms_per_token)
+  if (ms >= (double)saved * ms_per_token)
     return (mt_kv_fetch_t){.source = NULL};
-  return (mt_kv_fetch_t){source, more, ms};
+  return (mt_kv_fetch_t){source, saved, ms};
 }
--- a/src/relay/lease_table.c
+++ b/src/relay/lease_table.c
@@ -1,5 +1,5 @@
 /*
-** lease_table.c - who may use what nobody else may use meanwhile
+** lease_table.c - exclusive leases that expire
 */
 #include <stdlib.h>
 
--- a/src/relay/load_table.c
+++ b/src/relay/load_table.c
@@ -1,49 +1,52 @@
 /*
-** load_table.c - what every router has at the engines this router keeps
+** load_table.c - load of every router at the engines that this router owns
 */
 #include <stdlib.h>
 
 #include "load_table.h"
 
 #define ROWS_MAX 1024     /* of one engine */
-#define ENGINES_MAX 16384 /* datagrams come from anybody, and name any */
+#define ENGINES_MAX 16384 /* forged datagrams may name any engine */
 
-/* The row of a router at an engine, made if it is new; NULL: too many. */
-static mt_load_row_t *find_or_add_row (mt_load_table_t *book, uint64_t engine,
-                                       uint64_t router, bool *is_new) {
-  mt_load_row_t *first = mtV_get(&book->engines, engine);
+/* The row of a router at an engine, added if it is new; NULL at a limit. */
+static mt_load_row_t *find_or_add_row (mt_load_table_t *table,
+                                       uint64_t engine, uint64_t router,
+                                       bool *is_new) {
+  mt_load_row_t *first = mtV_get(&table->engines, engine);
   size_t count = 0;
   *is_new = false;
   for (mt_load_row_t *row = first; row != NULL; row = row->next, count++)
     if (row->router == router) return row;
   if (count >= ROWS_MAX) return NULL;
-  if (first == NULL && book->engines.used >= ENGINES_MAX) return NULL;
+  if (first == NULL && table->engines.used >= ENGINES_MAX) return NULL;
   mt_load_row_t *row = mtV_new(sizeof *row);
   row->next = first;
-  mtV_put(&book->engines, engine, row);
+  mtV_put(&table->engines, engine, row);
   *is_new = true;
   return row;
 }
 
-int64_t mt_load_table_set (mt_load_table_t *book, uint64_t engine,
-                           const mt_load_row_t *told) {
+int64_t mt_load_table_set (mt_load_table_t *table, uint64_t engine,
+                           const mt_load_row_t *report) {
   bool is_new;
-  mt_load_row_t *row = find_or_add_row(book, engine, told->router, &is_new);
+  mt_load_row_t *row =
+      find_or_add_row(table, engine, report->router, &is_new);
   if (row == NULL) return 0;
-  int64_t since = is_new ? 0 : told->tokens_processed - row->tokens_processed;
+  int64_t processed =
+      is_new ? 0 : report->tokens_processed - row->tokens_processed;
   mt_load_row_t *next = row->next;
-  *row = *told;
+  *row = *report;
   row->next = next;
-  return mt_max(since, 0);
+  return mt_max(processed, 0);
 }
 
-mt_engine_load_t mt_load_table_sum (const mt_load_table_t *book,
-                                    uint64_t engine, uint64_t but_router,
+mt_engine_load_t mt_load_table_sum (const mt_load_table_t *table,
+                                    uint64_t engine, uint64_t except,
                                     mt_ms_t now) {
   mt_engine_load_t sum = {0};
-  const mt_load_row_t *row = mtV_get(&book->engines, engine);
+  const mt_load_row_t *row = mtV_get(&table->engines, engine);
   for (; row != NULL; row = row->next) {
-    if (row->router == but_router || row->valid_until <= now) continue;
+    if (row->router == except || row->valid_until <= now) continue;
     sum.pending_prefill += row->load.pending_prefill;
     sum.held += row->load.held;
     sum.running += row->load.running;
@@ -51,38 +54,38 @@
   return sum;
 }
 
-/* Takes the invalid rows out of a list; returns its new first row. */
+/* Frees the expired rows of a list; returns its new first row. */
 static mt_load_row_t *remove_expired (mt_load_row_t *row, mt_ms_t now) {
-  mt_load_row_t *kept = NULL;
+  mt_load_row_t *valid = NULL;
   while (row != NULL) {
     mt_load_row_t *next = row->next;
     if (row->valid_until > now) {
-      row->next = kept;
-      kept = row;
+      row->next = valid;
+      valid = row;
     } else {
       free(row);
     }
     row = next;
   }
-  return kept;
+  return valid;
 }
 
-void mt_load_table_remove (mt_load_table_t *book, uint64_t engine) {
-  remove_expired(mtV_del(&book->engines, engine), UINT64_MAX);
+void mt_load_table_remove (mt_load_table_t *table, uint64_t engine) {
+  remove_expired(mtV_del(&table->engines, engine), UINT64_MAX);
 }
 
-void mt_load_table_expire (mt_load_table_t *book, mt_ms_t now) {
-  for (size_t i = book->engines.cap; i-- > 0;) {
-    uint64_t engine = book->engines.keys[i];
+void mt_load_table_expire (mt_load_table_t *table, mt_ms_t now) {
+  for (size_t i = table->engines.cap; i-- > 0;) {
+    uint64_t engine = table->engines.keys[i];
     if (engine == 0) continue;
-    mt_load_row_t *kept = remove_expired(book->engines.vals[i], now);
-    book->engines.vals[i] = kept;
-    if (kept == NULL) mtV_del(&book->engines, engine);
+    mt_load_row_t *valid = remove_expired(table->engines.vals[i], now);
+    table->engines.vals[i] = valid;
+    if (valid == NULL) mtV_del(&table->engines, engine);
   }
 }
 
-void mt_load_table_free (mt_load_table_t *book) {
-  mtV_each (&book->engines, i)
-    remove_expired(book->engines.vals[i], UINT64_MAX);
-  mtV_free(&book->engines);
+void mt_load_table_free (mt_load_table_t *table) {
+  mtV_each (&table->engines, i)
+    remove_expired(table->engines.vals[i], UINT64_MAX);
+  mtV_free(&table->engines);
 }
--- a/src/relay/load_table.h
+++ b/src/relay/load_table.h
@@ -1,47 +1,46 @@
 /*
-** load_table.h - what every router has at the engines this router keeps
+** load_table.h - load of every router at the engines that this router owns
 **
-** The owner of an engine is one of the routers. The others tell it their
-** whole load there, so a lost or repeated message does no harm; what a router
-** has not repeated in time no longer counts.
+** Each engine is owned by one router, to which the others report their load
+** there. A report replaces the previous one, so a lost or repeated message
+** does no harm; a report that is not renewed in time expires.
 */
 #ifndef load_table_h
 #define load_table_h
 
 #include "engine.h"
 
-/* What one router has at one engine. */
+/* Load of one router at one engine. */
 typedef struct mt_load_row_t {
   struct mt_load_row_t *next; /* of the same engine */
-  uint64_t router;
+  uint64_t router;            /* address of the router */
   mt_engine_load_t load;
-  int64_t
-      tokens_processed; /* tokens read or made there for the router, ever */
+  int64_t tokens_processed; /* of its requests there, prompt and output */
   mt_ms_t valid_until;
 } mt_load_row_t;
 
 typedef struct mt_load_table_t {
-  mt_map_t engines; /* engine's key -> its first row, owned */
+  mt_map_t engines; /* engine's key -> first row of its list, owned */
 } mt_load_table_t;
 
 /*
-** Takes a router's load at an engine in place of the one before. Returns the
-** tokens read or made there since that one; 0 for the first. Rows and engines
-** beyond a bound are passed over.
+** Replaces a router's load at an engine. Returns the tokens processed there
+** since its previous report; 0 for the first. New rows beyond a limit, of an
+** engine or of all, are ignored.
 */
-int64_t mt_load_table_set (mt_load_table_t *book, uint64_t engine,
+int64_t mt_load_table_set (mt_load_table_t *table, uint64_t engine,
                            const mt_load_row_t *row);
 
-/* The load of all routers but one at an engine. */
-mt_engine_load_t mt_load_table_sum (const mt_load_table_t *book,
-                                    uint64_t engine, uint64_t but_router,
+/* Sums the load at an engine over all routers except one. */
+mt_engine_load_t mt_load_table_sum (const mt_load_table_t *table,
+                                    uint64_t engine, uint64_t except,
                                     mt_ms_t now);
 
-/* The engine has started again: what anybody had there is lost. */
-void mt_load_table_remove (mt_load_table_t *book, uint64_t engine);
+/* Removes all rows of an engine, whose load a restart has ended. */
+void mt_load_table_remove (mt_load_table_t *table, uint64_t engine);
 
-/* Drops rows that are no longer valid. */
-void mt_load_table_expire (mt_load_table_t *book, mt_ms_t now);
-void mt_load_table_free (mt_load_table_t *book);
+/* Removes rows that are no longer valid. */
+void mt_load_table_expire (mt_load_table_t *table, mt_ms_t now);
+void mt_load_table_free (mt_load_table_t *table);
 
 #endif
--- a/src/relay/prefill_time.c
+++ b/src/relay/prefill_time.c
@@ -1,16 +1,16 @@
 /*
-** prefill_time.c - how long the engines of a service take to read a prompt
+** prefill_time.c - model of the time that a service's engines take to prefill
 */
 #include "prefill_time.h"
 
-#define DECAY 0.99 /* per request: some hundred are remembered */
-/* The declared rate counts as two requests: one of no tokens that took no
-   time, and one that took this long. */
+#define DECAY 0.99 /* per request: about the last hundred count */
+/* The configured rate counts as two measured requests: one of no tokens that
+   took no time, and one that took PRIOR_MS. */
 #define PRIOR_MS 100.0
 #define PRIOR_COUNT 1.0
-#define SPEEDUP_MAX                                       \
-  16.0 /* times the declared rate; a flat line is no rate \
-        */
+/* Highest rate as a multiple of the configured one: a fit that is flat or
+   falls with the tokens has no finite rate. */
+#define SPEEDUP_MAX 16.0
 
 void mt_prefill_time_add (mt_prefill_time_t *t, double tokens, double ms) {
   t->count = t->count * DECAY + 1;
@@ -29,26 +29,27 @@
   t->tokens_ms += PRIOR_COUNT * tokens * PRIOR_MS;
 }
 
-mt_prefill_model_t mt_prefill_time_fit (const mt_prefill_time_t *seen,
+mt_prefill_model_t mt_prefill_time_fit (const mt_prefill_time_t *samples,
                                         double declared) {
-  mt_prefill_time_t t = *seen;
-  mt_prefill_model_t line = {0, 0};
+  mt_prefill_time_t t = *samples;
+  mt_prefill_model_t model = {0, 0};
   double least = 1 / (declared * SPEEDUP_MAX);
   add_prior(&t, declared);
-  /* Never 0: the two requests of the prior differ in their tokens. */
+  /* Never 0, since the two requests of the prior differ in their tokens. */
   double spread = t.count * t.tokens_tokens - t.tokens * t.tokens;
-  line.ms_per_token = (t.count * t.tokens_ms - t.tokens * t.ms) / spread;
-  if (line.ms_per_token < least) line.ms_per_token = least;
-  line.fixed_ms = (t.ms - line.ms_per_token * t.tokens) / t.count;
-  if (line.fixed_ms >= 0) return line;
-  line.fixed_ms = 0;
-  line.ms_per_token = t.tokens_ms / t.tokens_tokens;
-  return line;
+  model.ms_per_token = (t.count * t.tokens_ms - t.tokens * t.ms) / spread;
+  if (model.ms_per_token < least) model.ms_per_token = least;
+  model.fixed_ms = (t.ms - model.ms_per_token * t.tokens) / t.count;
+  if (model.fixed_ms >= 0) return model;
+  model.fixed_ms = 0;
+  model.ms_per_token = t.tokens_ms / t.tokens_tokens;
+  return model;
 }
 
-mt_prefill_model_t mt_prefill_time_fit_ratio (const mt_prefill_time_t *seen,
-                                              double declared) {
-  mt_prefill_time_t t = *seen;
+mt_prefill_model_t
+mt_prefill_time_fit_ratio (const mt_prefill_time_t *samples,
+                           double declared) {
+  mt_prefill_time_t t = *samples;
   add_prior(&t, declared);
   return (mt_prefill_model_t){0, t.ms / t.tokens};
 }
--- a/src/relay/prefill_time.h
+++ b/src/relay/prefill_time.h
@@ -1,36 +1,38 @@
 /*
-** prefill_time.h - how long the engines of a service take to read a prompt
+** prefill_time.h - model of the time that a service's engines take to prefill
 **
-** The time from sending a request to its first event has a part that is
-** always there (a step of the engine, its first token) and a part for
-** every prompt token that has to be read before. Both are learnt by least
-** squares over sums that fade, so that they follow engines that change.
+** The time to first token has a fixed part (a step of the engine and the
+** token itself) and a part for each prompt token that is prefilled before.
+** Both are fitted by least squares over decaying sums, so that the model
+** follows engines that change.
 */
 #ifndef prefill_time_h
 #define prefill_time_h
 
-/* What was seen: fading sums over requests. */
+/* Decaying sums over the measured requests. */
 typedef struct mt_prefill_time_t {
   double count, tokens, ms, tokens_tokens, tokens_ms;
 } mt_prefill_time_t;
 
-/* ms to the first event = fixed_ms + tokens ahead * ms_per_token. */
+/* Time to first token = fixed_ms + tokens to prefill * ms_per_token. */
 typedef struct mt_prefill_model_t {
   double fixed_ms, ms_per_token;
 } mt_prefill_model_t;
 
-/* A first event came `ms` after the request was sent behind `tokens`. */
-void mt_prefill_time_add (mt_prefill_time_t *seen, double tokens, double ms);
+/* Adds a request whose first token came after `ms`; `tokens`: prompt tokens
+   prefilled until then, its own and those queued before it. */
+void mt_prefill_time_add (mt_prefill_time_t *samples, double tokens,
+                          double ms);
 
 /*
-** The line through what was seen. `declared` is the tokens per ms that
-** operators promise; it counts until there is more to go by.
+** Fits the model to the measurements. `declared`: the configured rate, tokens
+** per ms, which is the prior while there are few of them.
 */
-mt_prefill_model_t mt_prefill_time_fit (const mt_prefill_time_t *seen,
+mt_prefill_model_t mt_prefill_time_fit (const mt_prefill_time_t *samples,
                                         double declared);
 
-/* The same through no time for no tokens, for the ablation. */
-mt_prefill_model_t mt_prefill_time_fit_ratio (const mt_prefill_time_t *seen,
-                                              double declared);
+/* The same without a fixed part, for use when that mechanism is off. */
+mt_prefill_model_t
+mt_prefill_time_fit_ratio (const mt_prefill_time_t *samples, double declared);
 
 #endif
--- a/src/relay/prefix_cache.c
+++ b/src/relay/prefix_cache.c
@@ -1,5 +1,5 @@
 /*
-** prefix_cache.c - which parts of prompts one engine probably still keeps
+** prefix_cache.c - estimate of the prompt segments that an engine has cached
 */
 #include <stdlib.h>
 
@@ -8,7 +8,7 @@
 typedef struct mt_prefix_entry_t {
   struct mt_prefix_entry_t *newer, *older;
   mt_prefix_segment_t segment;
-  int64_t used_at; /* the cache's clock then */
+  int64_t used_at; /* the cache's clock at its last use */
 } mt_prefix_entry_t;
 
 static void detach (mt_prefix_cache_t *c, mt_prefix_entry_t *e) {
@@ -59,7 +59,8 @@
 void mt_prefix_cache_use (mt_prefix_cache_t *c,
                           const mt_prefix_segment_t *parts, size_t count,
                           int64_t capacity) {
-  /* The first part last: a part is of no use without those before it. */
+  /* The first segment is marked last, so that it is evicted last: a segment
+     is useless without those before it. */
   for (size_t i = count; i-- > 0;) {
     mt_prefix_entry_t *e = mtV_get(&c->entries, parts[i].id);
     if (e != NULL) {
--- a/src/relay/prefix_cache.h
+++ b/src/relay/prefix_cache.h
@@ -1,37 +1,39 @@
 /*
-** prefix_cache.h - which parts of prompts one engine probably still keeps
+** prefix_cache.h - estimate of the prompt segments that an engine has cached
 **
-** The engine drops the parts that were used longest ago. Its clock here is
-** the number of tokens that were read or made there by anybody: a part that
-** was used more of them ago than the engine holds is gone. It is a belief.
+** The engine is taken to evict the least recently used segments. The clock
+** counts the prompt and output tokens that it has processed, as far as this
+** router knows: a segment whose last use is further back than the engine's
+** capacity is taken to be evicted.
 */
 #ifndef prefix_cache_h
 #define prefix_cache_h
 
 #include "mtmem.h"
 
+/* A segment of a prompt, of which the routers see only name and length. */
 typedef struct mt_prefix_segment_t {
-  uint64_t id; /* never 0 */
+  uint64_t id; /* hash of its name in the request; never 0 */
   int64_t tokens;
 } mt_prefix_segment_t;
 
 typedef struct mt_prefix_cache_t {
-  mt_map_t entries; /* part -> entry, owned */
-  struct mt_prefix_entry_t *newest, *oldest;
-  int64_t clock; /* tokens read or made there since it is known */
+  mt_map_t entries;                          /* segment -> entry, owned */
+  struct mt_prefix_entry_t *newest, *oldest; /* by last use */
+  int64_t clock; /* tokens processed there since the engine was added */
 } mt_prefix_cache_t;
 
 void mt_prefix_cache_free (mt_prefix_cache_t *cache);
 
 /*
-** Tokens of the longest run of leading parts that are kept by an engine with
-** room for `capacity` tokens beside what is running.
+** Tokens of the leading segments that are still cached by an engine with room
+** for `capacity` tokens besides its running requests.
 */
 int64_t mt_prefix_cache_match (const mt_prefix_cache_t *cache,
                                const mt_prefix_segment_t *parts, size_t count,
                                int64_t capacity);
 
-/* The engine uses these parts; forgets what was used too long ago. */
+/* Marks the segments as used now, and drops those taken to be evicted. */
 void mt_prefix_cache_use (mt_prefix_cache_t *cache,
                           const mt_prefix_segment_t *parts, size_t count,
                           int64_t capacity);
--- a/src/relay/prefix_holders.c
+++ b/src/relay/prefix_holders.c
@@ -1,13 +1,13 @@
 /*
-** prefix_holders.c - where shared parts of prompts were read away from home
+** prefix_holders.c - engines outside the home that cache a shared prefix
 */
 #include <stdlib.h>
 
 #include "prefix_holders.h"
 
-#define HOLDER_TTL_MS \
-  30000 /* engines drop what was not used for about as long */
-#define SWEEP_INTERVAL_MS 1000 /* between looks for what is that old */
+/* Engines evict a segment about as long after its last use. */
+#define HOLDER_TTL_MS 30000
+#define SWEEP_INTERVAL_MS 1000 /* between searches for expired entries */
 #define SEGMENTS_MAX 65536
 
 typedef struct holder_t {
@@ -20,20 +20,20 @@
   mtV_free(&h->by_segment);
 }
 
-void mt_prefix_holders_set (mt_prefix_holders_t *h, uint64_t part,
+void mt_prefix_holders_set (mt_prefix_holders_t *h, uint64_t segment,
                             uint64_t engine, mt_ms_t now) {
-  holder_t *holder = mtV_get(&h->by_segment, part);
+  holder_t *holder = mtV_get(&h->by_segment, segment);
   if (holder == NULL) {
-    if (part == 0 || h->by_segment.used >= SEGMENTS_MAX) return;
+    if (segment == 0 || h->by_segment.used >= SEGMENTS_MAX) return;
     holder = mtV_new(sizeof *holder);
-    mtV_put(&h->by_segment, part, holder);
+    mtV_put(&h->by_segment, segment, holder);
   }
   *holder = (holder_t){engine, now};
 }
 
 uint64_t mt_prefix_holders_find (const mt_prefix_holders_t *h,
-                                 uint64_t part) {
-  const holder_t *holder = mtV_get(&h->by_segment, part);
+                                 uint64_t segment) {
+  const holder_t *holder = mtV_get(&h->by_segment, segment);
   return holder != NULL ? holder->engine : 0;
 }
 
