--- a/src/relay/quarantine.c
+++ b/src/relay/quarantine.c
@@ -1,30 +1,30 @@
 /*
-** quarantine.c - keeps engines from requests under which others ended
+** quarantine.c - keeps requests that crashed engines away from other engines
 */
 #include <stdlib.h>
 
 #include "placement.h"
 #include "quarantine.h"
 
-#define VERDICT_TIMEOUT_MS 40 /* for the owner's answer */
-#define LEASE_SLACK_MS                                 \
-  1000 /* a trial's lease beyond the request's own end \
-        */
+#define VERDICT_TIMEOUT_MS 40 /* for the owner's reply */
+#define LEASE_SLACK_MS 1000   /* of a lease beyond the request's expiry */
 #define LEASE_MAX_MS 30000
-#define LOST_RUN_TTL_MS 5000 /* an engine's entry lapses within that */
-#define REPORT_INTERVAL_MS \
-  200 /* the first; the next after three times that */
+/* The list entry of an engine that has ended expires in less. */
+#define LOST_RUN_TTL_MS 5000
+/* From the first to the second report; to the third it is three times that.
+ */
+#define REPORT_INTERVAL_MS 200
 #define REPORTS_PER_RUN 3
 #define LOST_RUNS_MAX 1024 /* runs that are remembered */
 
 static mt_suspect_message_t *add_message (mt_relay_t *relay,
                                           mt_suspect_message_kind_t kind,
                                           uint64_t digest) {
-  mt_suspect_message_t *word =
+  mt_suspect_message_t *msg =
       &mt_relay_effect(relay, MT_RELAY_DO_TELL)->u.word;
-  word->kind = kind;
-  word->digest = digest;
-  return word;
+  msg->kind = kind;
+  msg->digest = digest;
+  return msg;
 }
 
 /* {== Leases =========================================================== */
@@ -36,18 +36,18 @@
 
 static void release_engine (mt_relay_t *relay, uint64_t digest,
                             uint64_t engine, uint64_t request) {
-  mt_suspect_message_t *word =
+  mt_suspect_message_t *msg =
       add_message(relay, MT_SUSPECT_MESSAGE_RELEASE_ENGINE, digest);
-  word->engine = engine;
-  word->request = request;
+  msg->engine = engine;
+  msg->request = request;
 }
 
 void mt_quarantine_return_lease (mt_relay_t *relay,
-                                 const mt_suspect_message_t *word) {
-  if (word->kind == MT_SUSPECT_MESSAGE_LEASE_ENGINE)
-    release_engine(relay, word->digest, word->engine, word->request);
+                                 const mt_suspect_message_t *msg) {
+  if (msg->kind == MT_SUSPECT_MESSAGE_LEASE_ENGINE)
+    release_engine(relay, msg->digest, msg->engine, msg->request);
   else
-    release_request(relay, word->digest, word->request);
+    release_request(relay, msg->digest, msg->request);
 }
 
 void mt_quarantine_release_leases (mt_relay_t *relay, mt_relay_request_t *r) {
@@ -66,10 +66,10 @@
                mt_suspect_message_kind_t kind) {
   mt_ms_t lease =
       r->expires - mt_min(relay->now, r->expires) + LEASE_SLACK_MS;
-  mt_suspect_message_t *word = add_message(relay, kind, r->digest);
-  word->engine = r->trial_engine;
-  word->request = r->number;
-  word->lease = mt_min(lease, (mt_ms_t)LEASE_MAX_MS);
+  mt_suspect_message_t *msg = add_message(relay, kind, r->digest);
+  msg->engine = r->trial_engine;
+  msg->request = r->number;
+  msg->lease = mt_min(lease, (mt_ms_t)LEASE_MAX_MS);
   r->asked = relay->now;
   return MT_QUARANTINE_ASK;
 }
@@ -95,7 +95,7 @@
 
 mt_quarantine_decision_t
 mt_quarantine_on_verdict (mt_relay_t *relay, mt_relay_request_t *r,
-                          const mt_suspect_message_t *word,
+                          const mt_suspect_message_t *msg,
                           mt_trial_verdict_t verdict) {
   switch (verdict) {
     case MT_TRIAL_FREE: return MT_QUARANTINE_PASS;
@@ -104,7 +104,7 @@
     case MT_TRIAL_COUNT: return MT_QUARANTINE_BUSY;
     case MT_TRIAL_GRANTED: break;
   }
-  if (word->kind == MT_SUSPECT_MESSAGE_LEASE)
+  if (msg->kind == MT_SUSPECT_MESSAGE_LEASE)
     return request_engine_lease(relay, r);
   r->holds_engine = true;
   return MT_QUARANTINE_PASS;
@@ -124,20 +124,20 @@
 
 /* }== */
 
-/* {== Runs that were lost ============================================== */
+/* {== Lost runs ======================================================== */
 
 static void report_end (mt_relay_t *relay, const mt_lost_run_t *run) {
-  mt_suspect_message_t *word =
+  mt_suspect_message_t *msg =
       add_message(relay, MT_SUSPECT_MESSAGE_ENDED, run->digest);
-  word->engine = run->engine;
-  word->age = relay->now - run->at;
-  word->alone = run->alone;
+  msg->engine = run->engine;
+  msg->age = relay->now - run->at;
+  msg->alone = run->alone;
 }
 
 /*
-** The engine is tried at once: a machine that says that nobody listens
-** settles within a millisecond what the entry shows some seconds later, and
-** others are kept from it.
+** Probes the engine at once: a box that refuses the connection shows within a
+** millisecond what the engine's list entry shows seconds later, and in that
+** time the request could crash further engines.
 */
 void mt_quarantine_run_lost (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_lost_runs_t *lost = &relay->lost;
@@ -160,12 +160,14 @@
   relay->counters.probes++;
 }
 
-/* Tells what is due: at once, and again since datagrams may be lost. */
+/* Sends the report of a run if it is due: at once, and again since datagrams
+   may be lost. */
 static void report_if_due (mt_relay_t *relay, mt_lost_run_t *run) {
   if (!run->ended || run->told >= REPORTS_PER_RUN || relay->now < run->next)
     return;
   report_end(relay, run);
-  if (run->holds_engine && run->told == 0) /* who is back may be tried */
+  /* If the engine has restarted it may run trials again. */
+  if (run->holds_engine && run->told == 0)
     release_engine(relay, run->digest, run->engine, run->request);
   run->next =
       relay->now + (run->told == 0 ? 1 : 3) * (mt_ms_t)REPORT_INTERVAL_MS;
@@ -186,7 +188,7 @@
     report_if_due(relay, &relay->lost.list[i]);
 }
 
-/* Nothing shows that its engine ended: the leases go back. */
+/* Releases the leases of a run whose engine has not been seen to end. */
 static void release_run_leases (mt_relay_t *relay, const mt_lost_run_t *run) {
   if (run->ended) return;
   if (run->alone) release_request(relay, run->digest, run->request);
@@ -211,10 +213,10 @@
 
 /* }== */
 
-/* {== Whole answers ==================================================== */
+/* {== Complete answers ================================================= */
 
-/* An answer whose end nobody vouches for may have been cut by the engine's
-   own end. */
+/* An answer without framing, which ends with its connection, may have been
+   truncated by the end of the engine: it clears nothing. */
 void mt_quarantine_run_answered (mt_relay_t *relay, mt_relay_request_t *r) {
   if (!r->framed || r->digest == 0) return;
   mt_suspects_note_answer(&relay->suspects, r->digest, relay->now);
--- a/src/relay/quarantine.h
+++ b/src/relay/quarantine.h
@@ -1,16 +1,16 @@
 /*
-** quarantine.h - keeps engines from requests under which others ended
+** quarantine.h - keeps requests that crashed engines away from other engines
 **
-** Stands between the life of a request (relay.c) and what is known of it
-** (suspects.h): says before each placement whether it may run, and tells its
-** owner what came of it.
+** Connects the life of a request (relay.c) with the table of suspects
+** (suspects.h): decides before a placement whether the request may run, and
+** reports to its owner what became of the run.
 **
-** A run that is lost with its connection is no end by itself: connections
-** break, are cut and reset for many reasons. It counts as an end once the
-** engine's machine says that nobody listens there, its entry lapses, or it
-** turns out to have started again. Silence and a machine out of reach are no
-** ends, unless the entry lapses meanwhile; nor is what an engine loses that
-** had said, or shown, that it leaves.
+** A run that is lost with its connection does not count as an end of the
+** engine by itself: connections break for many reasons. It counts once the
+** engine's box refuses connections, the engine's entry in the list expires,
+** or the engine turns out to have restarted. No response and an unreachable
+** box do not count unless the entry expires meanwhile, nor do runs at an
+** engine that drains or has left the list.
 */
 #ifndef quarantine_h
 #define quarantine_h
@@ -18,54 +18,55 @@
 #include "relay.h"
 
 typedef enum mt_quarantine_decision_t {
-  MT_QUARANTINE_PASS,
-  MT_QUARANTINE_ASK,   /* an owner has to say; the effect is there */
-  MT_QUARANTINE_BUSY,  /* no engine, or none for it now */
+  MT_QUARANTINE_PASS,  /* it may run */
+  MT_QUARANTINE_ASK,   /* it waits for the reply of an owner */
+  MT_QUARANTINE_BUSY,  /* no engine, or no lease, is free for it */
   MT_QUARANTINE_REFUSE /* it is in quarantine */
 } mt_quarantine_decision_t;
 
+/* Whether a request that has just arrived may run. */
 mt_quarantine_decision_t mt_quarantine_check (mt_relay_t *relay,
                                               mt_relay_request_t *request);
 
-/* What follows from an owner's answer: the request's is asked first, then
-   that of the engine where the least runs that would end with it. */
+/* Handles an owner's reply to `msg`. The owner of the request is asked for a
+   lease first, then the owner of the engine that runs the fewest requests. */
 mt_quarantine_decision_t
 mt_quarantine_on_verdict (mt_relay_t *relay, mt_relay_request_t *request,
-                          const mt_suspect_message_t *word,
+                          const mt_suspect_message_t *msg,
                           mt_trial_verdict_t verdict);
 
-/* True when the owner has let a question rest for too long. */
+/* True if the owner has not replied in time. */
 bool mt_quarantine_timed_out (const mt_relay_t *relay,
                               const mt_relay_request_t *request);
 
-/* True for a request that is not to be sent to one more engine after a run:
-   its next one may end as well. */
+/* True if the request must not be retried after a run, since it may crash the
+   next engine, too. */
 bool mt_quarantine_forbids_retry (const mt_relay_t *relay,
                                   const mt_relay_request_t *request);
 
-/* The current attempt's connection ended before a whole answer. */
+/* The current attempt's connection ended before its answer was complete. */
 void mt_quarantine_run_lost (mt_relay_t *relay, mt_relay_request_t *request);
 
-/* The current attempt's answer is whole. */
+/* The current attempt's answer is complete. */
 void mt_quarantine_run_answered (mt_relay_t *relay,
                                  mt_relay_request_t *request);
 
-/* The request is over, whatever came of it. */
+/* Releases the leases of a request that is over. */
 void mt_quarantine_release_leases (mt_relay_t *relay,
                                    mt_relay_request_t *request);
 
-/* The engine has ended: what was lost there lately was lost with it. May be
-   called between steps; the next tells the owners. */
+/* The engine has ended: runs lost there recently count as ends. May be called
+   between steps; the next step reports to the owners. */
 void mt_quarantine_engine_ended (mt_relay_t *relay, uint64_t engine);
 
-/* Tells the owners now what is due. */
+/* Sends the owners the reports that are due. */
 void mt_quarantine_send_reports (mt_relay_t *relay);
 
-/* A lease was granted to a request that does not wait for it any more. */
+/* Returns a lease that was granted after its request had stopped waiting. */
 void mt_quarantine_return_lease (mt_relay_t *relay,
-                                 const mt_suspect_message_t *word);
+                                 const mt_suspect_message_t *msg);
 
-/* Repeats what may have been lost on its way; forgets what is over. */
+/* Repeats reports, since datagrams may be lost, and drops old lost runs. */
 void mt_quarantine_tick (mt_relay_t *relay);
 
 #endif
--- a/src/relay/suspects.c
+++ b/src/relay/suspects.c
@@ -1,5 +1,5 @@
 /*
-** suspects.c - requests under which engines ended, and what that allows
+** suspects.c - requests suspected of crashing engines, and their quarantine
 */
 #include <stdlib.h>
 #include <string.h>
@@ -8,18 +8,19 @@
 
 #define PROBATION_ENDS 2
 #define QUARANTINE_ENDS 3
-#define QUARANTINE_ALONE 2 /* of these */
-/* All routers lose an engine at about the same time; it is back later. What
-   ran alone was lost by one router, which tells of it some times. */
+#define QUARANTINE_ALONE 2 /* of these, by a copy that ran alone */
+/* Reports of one end: all routers lose an engine at about the same time, and
+   it takes longer to return. A copy that ran alone was lost by one router,
+   whose repeated reports agree more closely. */
 #define SAME_END_MS 1000
 #define SAME_ALONE_MS 100
 #define QUARANTINE_MS 600000 /* the first; each further one twice as long */
 #define DOUBLINGS_MAX 3
 #define SUSPECT_TTL_MS 7200000 /* longer than any quarantine */
 #define NOTED_TTL_MS 600000
-#define CLEARED_TTL_MS 60000 /* until all that is on its way has arrived */
+#define CLEARED_TTL_MS 60000 /* late reports of ends arrive sooner */
 #define SUSPECTS_MAX 4096
-#define EVICTION_SAMPLE 64 /* for one to forget, when there are so many */
+#define EVICTION_SAMPLE 64 /* slots searched for an entry to evict */
 #define ANSWERS_MAX 4096
 
 const char *mt_suspicion_name (mt_suspicion_t state) {
@@ -56,13 +57,13 @@
   return s->earlier + s->listed;
 }
 
-/* Nothing follows from it. */
+/* Too few ends to restrict the request. */
 static bool is_below_threshold (const mt_suspect_t *s) {
   return count_ends(s) < PROBATION_ENDS;
 }
 
-/* Of some, the one that would be forgotten first; those that others know of
-   stay. False when there is none. */
+/* Makes room for one entry: of some slots evicts the entry that would expire
+   first. Entries that are gossiped stay. False if there is none. */
 static bool make_room (mt_suspects_t *t) {
   mt_suspect_t *first = NULL;
   if (t->by_digest.used < SUSPECTS_MAX) return true;
@@ -85,7 +86,9 @@
   return s;
 }
 
-/* {== What holds ======================================================= */
+/* }== */
+
+/* {== State of a request =============================================== */
 
 static bool is_same_end (const mt_suspect_end_t *a,
                          const mt_suspect_end_t *b) {
@@ -93,7 +96,7 @@
   return a->engine == b->engine && apart < SAME_END_MS;
 }
 
-/* True when this end of the request has been counted. */
+/* True if this end of the request has been counted already. */
 static bool is_counted (const mt_suspect_t *s, const mt_suspect_end_t *end) {
   for (int i = 0; i < s->listed; i++) {
     const mt_suspect_end_t *known = &s->list[i];
@@ -110,7 +113,7 @@
   return false;
 }
 
-/* Another suspect was at that engine's end. */
+/* True if another suspect was running at that engine when it ended. */
 static bool is_shared (const mt_suspects_t *t, const mt_suspect_t *s,
                        const mt_suspect_end_t *end) {
   mtV_each (&t->by_digest, i) {
@@ -138,9 +141,9 @@
     last = end->at;
   }
   mt_ms_t until = last + quarantine_duration(status.alone);
-  bool convicted = status.ends >= QUARANTINE_ENDS &&
-                   status.alone >= QUARANTINE_ALONE && last > 0;
-  if (convicted && now < until) {
+  bool quarantined = status.ends >= QUARANTINE_ENDS &&
+                     status.alone >= QUARANTINE_ALONE && last > 0;
+  if (quarantined && now < until) {
     status.state = MT_SUSPICION_QUARANTINE;
     status.left = until - now;
   } else if (!is_below_threshold(s)) {
@@ -181,14 +184,14 @@
 
 /* }== */
 
-/* {== The owner's part ================================================= */
+/* {== At the owner ===================================================== */
 
 static mt_ms_t time_to_live (const mt_suspect_t *s) {
   if (count_ends(s) == 0) return CLEARED_TTL_MS;
   return is_below_threshold(s) ? NOTED_TTL_MS : SUSPECT_TTL_MS;
 }
 
-/* The oldest of a full list goes on among those that are only counted. */
+/* Appends an end; the oldest of a full list is only counted from then on. */
 static void append_end (mt_suspect_t *s, const mt_suspect_end_t *end) {
   if (s->listed == MT_SUSPECT_ENDS_MAX) {
     s->earlier++;
@@ -219,7 +222,7 @@
   mt_suspect_t *s = mt_suspects_get(t, digest);
   int kept = 0;
   if (s == NULL || count_ends(s) == 0 || at < s->since) return false;
-  bool was_minor = is_below_threshold(s);
+  bool was_below = is_below_threshold(s);
   for (int i = 0; i < s->listed; i++)
     if (s->list[i].at > at) s->list[kept++] = s->list[i];
   s->listed = kept;
@@ -228,7 +231,7 @@
   mt_lease_table_revoke(&t->leases, digest);
   s->version++;
   s->expires = now + time_to_live(s);
-  return !was_minor;
+  return !was_below;
 }
 
 mt_trial_verdict_t mt_suspects_lease (mt_suspects_t *t, uint64_t digest,
@@ -254,7 +257,7 @@
 
 /* }== */
 
-/* {== What goes round =================================================== */
+/* {== Gossip ============================================================ */
 
 mt_suspect_row_t mt_suspects_row (const mt_suspect_t *s, mt_ms_t now) {
   mt_suspect_row_t row = {.digest = s->digest,
@@ -271,8 +274,8 @@
   return row;
 }
 
-/* Of two that say the same version the graver is right: two routers may have
-   taken themselves for the owner. */
+/* Of two rows of the same version the one with more ends wins: two routers
+   may both have acted as the owner. */
 static bool is_newer (const mt_suspect_t *s, const mt_suspect_row_t *row) {
   if (row->version != s->version) return row->version > s->version;
   return row->earlier + row->listed > count_ends(s);
@@ -297,16 +300,16 @@
   return true;
 }
 
-/* One with one end is its owner's alone. */
+/* A suspect with a single end is known to its owner only. */
 static bool is_gossiped (const mt_suspect_t *s) {
   return s->version > 0 && count_ends(s) != 1;
 }
 
-size_t mt_suspects_list (const mt_suspects_t *t, size_t *place,
+size_t mt_suspects_list (const mt_suspects_t *t, size_t *position,
                          mt_suspect_row_t *rows, size_t most, mt_ms_t now) {
   size_t count = 0, cap = t->by_digest.cap;
   for (size_t i = 0; i < cap && count < most; i++) {
-    size_t at = (*place)++ % cap;
+    size_t at = (*position)++ % cap;
     const mt_suspect_t *s = t->by_digest.vals[at];
     if (t->by_digest.keys[at] == 0 || !is_gossiped(s)) continue;
     rows[count++] = mt_suspects_row(s, now);
@@ -316,13 +319,13 @@
 
 /* }== */
 
-/* {== Answers here ====================================================== */
+/* {== Answers at this router ============================================ */
 
 void mt_suspects_note_answer (mt_suspects_t *t, uint64_t digest,
                               mt_ms_t now) {
-  uintptr_t place = (uintptr_t)mtV_get(&t->answer_slots, digest);
-  if (place != 0) {
-    t->answers[place - 1].at = now;
+  uintptr_t slot = (uintptr_t)mtV_get(&t->answer_slots, digest);
+  if (slot != 0) {
+    t->answers[slot - 1].at = now;
     return;
   }
   if (t->answers == NULL)
@@ -335,8 +338,8 @@
 }
 
 mt_ms_t mt_suspects_last_answer (const mt_suspects_t *t, uint64_t digest) {
-  uintptr_t place = (uintptr_t)mtV_get(&t->answer_slots, digest);
-  return place != 0 ? t->answers[place - 1].at : 0;
+  uintptr_t slot = (uintptr_t)mtV_get(&t->answer_slots, digest);
+  return slot != 0 ? t->answers[slot - 1].at : 0;
 }
 
 /* }== */
--- a/src/relay/suspects.h
+++ b/src/relay/suspects.h
@@ -1,26 +1,27 @@
 /*
-** suspects.h - requests under which engines ended, and what that allows
+** suspects.h - requests suspected of crashing engines, and their quarantine
 **
-** An engine that ends takes with it all that runs there, and nobody sees
-** which of these requests did it. One request is in common to many ends; a
-** harmless one is answered whole sooner or later. So ends are counted for
-** each request since it was last answered whole: after two it goes on
-** probation, one copy at a time in the whole fleet, at an engine where no
-** other suspect runs; when two engines have ended under a copy that ran
-** alone, the request is refused for some time. Ends that come together, as
-** when a failure domain loses power, put a request on probation at most, and
-** one answer clears it.
+** An engine that ends takes all its running requests with it, and nothing
+** shows which of them caused the end. A request that crashes engines is
+** common to many ends, while a harmless one is answered completely sooner or
+** later. So the ends of engines are counted for each request since its last
+** complete answer. After two it is on probation: one copy at a time runs in
+** the whole fleet, as a trial, at an engine where no other suspect runs.
+** After three, of which two were of a copy that ran alone, it is in
+** quarantine and refused for some time. Ends that come together, as when a
+** failure domain loses power, put a request on probation at most, and one
+** answer clears it.
 **
-** Who is blamed for an end may be a bystander. An end counts only while no
-** other suspect was there: with ends counted as they came, a harmless
-** request was refused whose trials two new deadly ones had joined. As the
-** other is cleared the end counts again, so nothing is derived but from the
-** ends themselves.
+** A request may be a bystander of an end that another one caused. An end of a
+** copy that ran alone therefore counts as such only if no other suspect was
+** at that engine; otherwise a harmless request is refused when two new
+** crashing ones join its trials. The end counts again once the other is
+** cleared: the state is always derived from the list of ends.
 **
-** Each request has one owner among the routers, which counts ends and hands
-** out trials. Rows of the requests on probation and in quarantine go round,
-** so that all routers have them and another can take over as owner; who has
-** the greater version is right.
+** Each request is owned by one router, which counts its ends and grants its
+** trials. Rows of requests on probation and in quarantine are gossiped, so
+** that every router has them and another one can take over as owner; the row
+** with the greater version wins.
 */
 #ifndef suspects_h
 #define suspects_h
@@ -30,14 +31,14 @@
 #define MT_SUSPECT_ENDS_MAX 4
 
 typedef enum mt_suspicion_t {
-  MT_SUSPICION_NONE,       /* it was cleared */
-  MT_SUSPICION_NOTED,      /* an engine ended; nothing follows from that */
-  MT_SUSPICION_PROBATION,  /* it runs one copy at a time */
-  MT_SUSPICION_QUARANTINE, /* it is refused */
+  MT_SUSPICION_NONE,       /* unknown, or cleared */
+  MT_SUSPICION_NOTED,      /* one engine ended; no restriction yet */
+  MT_SUSPICION_PROBATION,  /* runs one copy at a time */
+  MT_SUSPICION_QUARANTINE, /* is refused */
   MT_SUSPICION_COUNT
 } mt_suspicion_t;
 
-/* An engine ended under the request. */
+/* The end of an engine that was running the request. */
 typedef struct mt_suspect_end_t {
   uint64_t engine;
   mt_ms_t at;
@@ -45,65 +46,65 @@
 } mt_suspect_end_t;
 
 typedef struct mt_suspect_t {
-  uint64_t digest, version;
-  mt_suspect_end_t list[MT_SUSPECT_ENDS_MAX]; /* the last ones */
+  uint64_t digest, version; /* the version rises with each change */
+  mt_suspect_end_t list[MT_SUSPECT_ENDS_MAX]; /* the last ends */
   int listed;
-  int earlier, earlier_alone; /* that are only counted */
-  mt_ms_t since;   /* the first of the ends; without any: it was cleared */
-  mt_ms_t expires; /* it is forgotten then */
+  int earlier, earlier_alone; /* counts of ends that are no longer listed */
+  mt_ms_t since;   /* time of the first end, or without any of the clearing */
+  mt_ms_t expires; /* when the entry is dropped */
 } mt_suspect_t;
 
-/* The same for other routers: times are ms before or from now. */
+/* The same as it is gossiped: with durations in place of times. */
 typedef struct mt_suspect_row_t {
   uint64_t digest, version;
-  mt_suspect_end_t list[MT_SUSPECT_ENDS_MAX]; /* `at`: so long ago */
+  mt_suspect_end_t list[MT_SUSPECT_ENDS_MAX]; /* `at`: age */
   int listed, earlier, earlier_alone;
-  mt_ms_t age, expires_in; /* since `since`, until `expires` */
+  mt_ms_t age, expires_in; /* time since `since`, and until `expires` */
 } mt_suspect_row_t;
 
-/* An owner's word to who wants to run a copy. */
+/* An owner's reply to a router that asks for a lease. */
 typedef enum mt_trial_verdict_t {
-  MT_TRIAL_FREE,    /* nothing against it: any number may run */
-  MT_TRIAL_GRANTED, /* this one may, and no other until it is over */
-  MT_TRIAL_BUSY,    /* another one runs */
+  MT_TRIAL_FREE,    /* no lease is needed: any number of copies may run */
+  MT_TRIAL_GRANTED, /* granted: no other may run until it is released */
+  MT_TRIAL_BUSY,    /* another holder has the lease */
   MT_TRIAL_REFUSED, /* it is in quarantine */
   MT_TRIAL_COUNT
 } mt_trial_verdict_t;
 
-/* What a router tells the owner of a request. */
+/* Messages to the owner of a request, or to the owner of an engine. */
 typedef enum mt_suspect_message_kind_t {
-  MT_SUSPECT_MESSAGE_ENDED,        /* an engine ended under it */
-  MT_SUSPECT_MESSAGE_ANSWERED,     /* it was answered whole */
-  MT_SUSPECT_MESSAGE_LEASE,        /* may it run? */
-  MT_SUSPECT_MESSAGE_RELEASE,      /* it does not run any more */
-  MT_SUSPECT_MESSAGE_LEASE_ENGINE, /* of an engine's: may a suspect run there?
-                                    */
-  MT_SUSPECT_MESSAGE_RELEASE_ENGINE, /* it does not run there any more */
+  MT_SUSPECT_MESSAGE_ENDED,    /* an engine ended while running the request */
+  MT_SUSPECT_MESSAGE_ANSWERED, /* the request was answered completely */
+  MT_SUSPECT_MESSAGE_LEASE,    /* asks for the lease to run the request */
+  MT_SUSPECT_MESSAGE_RELEASE,  /* releases that lease */
+  MT_SUSPECT_MESSAGE_LEASE_ENGINE,   /* the same, to run it at the engine */
+  MT_SUSPECT_MESSAGE_RELEASE_ENGINE, /* releases that lease */
   MT_SUSPECT_MESSAGE_COUNT
 } mt_suspect_message_kind_t;
 
 typedef struct mt_suspect_message_t {
   mt_suspect_message_kind_t kind;
   uint64_t digest;
-  uint64_t engine;  /* ENDED, HOLD, DROP */
-  uint64_t request; /* its number at that router, as leases go */
+  uint64_t engine;  /* ENDED, LEASE_ENGINE, RELEASE_ENGINE */
+  uint64_t request; /* its number at the sender; identifies the holder */
   bool alone;       /* ENDED: no other copy ran */
-  mt_ms_t age;      /* ENDED, ANSWERED: since then */
-  mt_ms_t lease;    /* TRY, HOLD: for so long at most */
+  mt_ms_t age;      /* ENDED, ANSWERED: time since that event */
+  mt_ms_t lease;    /* LEASE, LEASE_ENGINE: longest duration */
 } mt_suspect_message_t;
 
+/* The last complete answer to a request at this router. */
 typedef struct mt_suspect_answer_t {
   uint64_t digest;
   mt_ms_t at;
 } mt_suspect_answer_t;
 
 typedef struct mt_suspects_t {
-  mt_map_t by_digest;           /* mt_suspect_t, owned */
-  mt_lease_table_t leases;      /* of suspects that run, and where they do */
-  size_t cursor;                /* of the search for one to forget */
-  mt_suspect_answer_t *answers; /* a ring of the last whole answers */
-  mt_map_t answer_slots;        /* digest -> its place in the ring, plus 1 */
-  size_t answers_added;
+  mt_map_t by_digest;           /* digest -> mt_suspect_t, owned */
+  mt_lease_table_t leases;      /* of running suspects and of their engines */
+  size_t cursor;                /* where the search for an eviction goes on */
+  mt_suspect_answer_t *answers; /* ring of the last complete answers */
+  mt_map_t answer_slots;        /* digest -> index in the ring, plus 1 */
+  size_t answers_added;         /* how many were added to the ring */
 } mt_suspects_t;
 
 void mt_suspects_free (mt_suspects_t *suspects);
@@ -112,11 +113,11 @@
 mt_suspect_t *mt_suspects_get (const mt_suspects_t *suspects,
                                uint64_t digest);
 
-/* What holds of a request now. */
+/* State of a request at some time. */
 typedef struct mt_suspect_status_t {
   mt_suspicion_t state;
-  int ends, alone; /* alone: that count */
-  mt_ms_t left;    /* of the quarantine */
+  int ends, alone; /* ends; those that count as of a copy that ran alone */
+  mt_ms_t left;    /* time left of the quarantine */
 } mt_suspect_status_t;
 
 mt_suspect_status_t mt_suspects_status (const mt_suspects_t *suspects,
@@ -124,65 +125,68 @@
 mt_suspicion_t mt_suspects_state (const mt_suspects_t *suspects,
                                   uint64_t digest, mt_ms_t now);
 
-/* {== The owner's part ================================================= */
+/* {== At the owner ===================================================== */
 
-/* Counts an end once, whoever tells of it; true when others have to know. */
+/* Counts an end once, however often it is reported; true if the suspect's row
+   is to be sent to other routers. */
 bool mt_suspects_add_end (mt_suspects_t *suspects, uint64_t digest,
                           const mt_suspect_end_t *end, mt_ms_t now);
 
-/* It was answered whole: earlier ends say nothing. True as above. */
+/* Clears the ends up to a complete answer at `at`; true as above. */
 bool mt_suspects_clear (mt_suspects_t *suspects, uint64_t digest, mt_ms_t at,
                         mt_ms_t now);
 
-/* Hands out the one lease to run it. */
+/* Asks for the lease to run the request, of which there is one. */
 mt_trial_verdict_t mt_suspects_lease (mt_suspects_t *suspects,
                                       uint64_t digest, uint64_t holder,
                                       mt_ms_t lease, mt_ms_t now);
 
-/* The same of an engine, for any suspect to run there. */
+/* Asks for the lease to run a suspect at the engine. */
 mt_trial_verdict_t mt_suspects_lease_engine (mt_suspects_t *suspects,
                                              uint64_t engine, uint64_t holder,
                                              mt_ms_t lease, mt_ms_t now);
 
-/* The holder does not need the lease of a request or an engine any more. */
+/* Releases the holder's lease of a request or an engine. */
 void mt_suspects_release (mt_suspects_t *suspects, uint64_t name,
                           uint64_t holder);
 
 /* }== */
 
-/* {== What goes round =================================================== */
+/* {== Gossip ============================================================ */
 
 mt_suspect_row_t mt_suspects_row (const mt_suspect_t *suspect, mt_ms_t now);
 
-/* Takes another router's row; false when it tells nothing newer. */
+/* Takes another router's row; false if it is not newer. */
 bool mt_suspects_merge (mt_suspects_t *suspects, const mt_suspect_row_t *row,
                         mt_ms_t now);
 
-/* Rows that others should have, from a place in the table on; returns how
-   many, at most `most`, and moves the place. */
-size_t mt_suspects_list (const mt_suspects_t *suspects, size_t *place,
+/* Gets up to `most` rows to be gossiped, from `position` in the table on;
+   advances the position and returns their number. */
+size_t mt_suspects_list (const mt_suspects_t *suspects, size_t *position,
                          mt_suspect_row_t *rows, size_t most, mt_ms_t now);
 
 /* }== */
 
-/* {== Answers here ====================================================== */
+/* {== Answers at this router ============================================ */
 
+/* Records that the request was answered completely. */
 void mt_suspects_note_answer (mt_suspects_t *suspects, uint64_t digest,
                               mt_ms_t now);
 
-/* When it was last answered whole at this router; 0: not lately. */
+/* Time of its last complete answer at this router; 0: none is recorded. */
 mt_ms_t mt_suspects_last_answer (const mt_suspects_t *suspects,
                                  uint64_t digest);
 
 /* }== */
 
-/* How many are in a state. */
+/* The number of suspects in a state. */
 size_t mt_suspects_count (const mt_suspects_t *suspects, mt_suspicion_t state,
                           mt_ms_t now);
 
-/* Forgets what is over; some times a second. */
+/* Drops expired entries and leases; called several times a second. */
 void mt_suspects_expire (mt_suspects_t *suspects, mt_ms_t now);
 
+/* A state's name in logs, metrics and the operators' list. */
 const char *mt_suspicion_name (mt_suspicion_t state);
 
 #endif
