--- /dev/null
+++ b/src/relay/kv_cache.h
@@ -0,0 +1,67 @@
+/*
+** kv_cache.h - cached prefixes of a prompt, and KV transfers between engines
+**
+** An engine that has to prefill a prompt can fetch the KV cache of a prefix
+** from another engine over the engines' own network: a transfer takes some
+** milliseconds where the prefill takes tens.
+*/
+#ifndef kv_cache_h
+#define kv_cache_h
+
+#include "relay.h"
+
+/* A KV transfer that saves an engine some prefill. */
+typedef struct mt_kv_fetch_t {
+  mt_engine_t *source; /* NULL: no transfer */
+  int64_t tokens;      /* fetched, beyond those that the engine has cached */
+  double ms;           /* expected duration of the transfer */
+} mt_kv_fetch_t;
+
+/* The segment that selects the home engine: the last one that other prompts
+   may share, or the only one; 0: there is none. */
+uint64_t mt_kv_cache_home_segment (const mt_prefix_segment_t *parts,
+                                   size_t count);
+
+/* Tokens of the segments that other prompts may share: all but the last. */
+int64_t mt_kv_cache_shared_tokens (const mt_relay_request_t *request);
+
+/*
+** True if the request makes an engine other than the home prefill shared
+** segments, which the owner of the home should know.
+*/
+bool mt_kv_cache_should_report (const mt_relay_request_t *request);
+
+/* Tokens of cache left besides running requests; at least an eighth of it. */
+int64_t mt_kv_cache_available (const mt_engine_t *engine,
+                               int64_t kv_capacity);
+
+/*
+** Leading tokens of the prompt that the engine has cached: as its owner
+** reported for this request, else by this router's own estimate.
+*/
+int64_t mt_kv_cache_cached_tokens (const mt_relay_request_t *request,
+                                   const mt_engine_t *engine,
+                                   int64_t kv_capacity);
+
+/*
+** The engine to fetch from: the one with most of the prompt cached that is
+** available and has not just failed. Sets `tokens` to its cached tokens. NULL
+** if no engine has any, or the service does not support transfers.
+*/
+mt_engine_t *mt_kv_cache_find_source (mt_relay_t *relay,
+                                      const mt_relay_request_t *request,
+                                      const mt_catalog_service_t *service,
+                                      int64_t *tokens);
+
+/*
+** The transfer from `source`, which has `source_tokens` of the prompt cached,
+** to an engine that has `cached` of them and prefills a token in
+** `ms_per_token`; none if the prefill is faster.
+*/
+mt_kv_fetch_t mt_kv_cache_plan_fetch (const mt_catalog_service_t *service,
+                                      mt_engine_t *source,
+                                      int64_t source_tokens,
+                                      const mt_engine_t *to, int64_t cached,
+                                      double ms_per_token);
+
+#endif
--- a/src/relay/prefix_cache.c
+++ b/src/relay/prefix_cache.c
@@ -1,5 +1,5 @@
 /*
-** prefix_cache.c - which parts of prompts one engine probably still keeps
+** prefix_cache.c - estimate of the prompt segments that an engine has cached
 */
 #include <stdlib.h>
 
@@ -7,8 +7,8 @@
 
 typedef struct mt_prefix_entry_t {
   struct mt_prefix_entry_t *newer, *older;
-  mt_prefix_part_t part;
-  int64_t used; /* the cache's clock then */
+  mt_prefix_segment_t segment;
+  int64_t used_at; /* the cache's clock at its last use */
 } mt_prefix_entry_t;
 
 static void detach (mt_prefix_cache_t *c, mt_prefix_entry_t *e) {
@@ -35,7 +35,7 @@
 static void drop_oldest (mt_prefix_cache_t *c) {
   mt_prefix_entry_t *e = c->oldest;
   detach(c, e);
-  mtV_del(&c->entries, e->part.id);
+  mtV_del(&c->entries, e->segment.id);
   free(e);
 }
 
@@ -45,32 +45,34 @@
 }
 
 int64_t mt_prefix_cache_match (const mt_prefix_cache_t *c,
-                               const mt_prefix_part_t *parts, size_t count,
+                               const mt_prefix_segment_t *parts, size_t count,
                                int64_t capacity) {
   int64_t tokens = 0;
   for (size_t i = 0; i < count; i++) {
     const mt_prefix_entry_t *e = mtV_get(&c->entries, parts[i].id);
-    if (e == NULL || c->clock - e->used > capacity) break;
+    if (e == NULL || c->clock - e->used_at > capacity) break;
     tokens += parts[i].tokens;
   }
   return tokens;
 }
 
-void mt_prefix_cache_use (mt_prefix_cache_t *c, const mt_prefix_part_t *parts,
-                          size_t count, int64_t capacity) {
-  /* The first part last: a part is of no use without those before it. */
+void mt_prefix_cache_use (mt_prefix_cache_t *c,
+                          const mt_prefix_segment_t *parts, size_t count,
+                          int64_t capacity) {
+  /* The first segment is marked last, so that it is evicted last: a segment
+     is useless without those before it. */
   for (size_t i = count; i-- > 0;) {
     mt_prefix_entry_t *e = mtV_get(&c->entries, parts[i].id);
     if (e != NULL) {
       detach(c, e);
     } else {
       e = mtV_new(sizeof *e);
-      e->part = parts[i];
-      mtV_put(&c->entries, e->part.id, e);
+      e->segment = parts[i];
+      mtV_put(&c->entries, e->segment.id, e);
     }
-    e->used = c->clock;
+    e->used_at = c->clock;
     attach(c, e);
   }
-  while (c->oldest != NULL && c->clock - c->oldest->used > capacity)
+  while (c->oldest != NULL && c->clock - c->oldest->used_at > capacity)
     drop_oldest(c);
 }
