--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -563,7 +563,7 @@
       ssize_t size = recv(fd, got, sizeof got, MSG_DONTWAIT);
       return size > 0 &&
              mt_peer_message_unpack(in.get(), got, (size_t)size) &&
-             in->kind == MT_PEER_WELCOME;
+             in->kind == MT_PEER_MEMBERS;
     });
     EXPECT_TRUE(welcomed) << boot;
   }
@@ -590,7 +590,7 @@
                    const mt_change_t &change) {
     auto m = std::make_unique<mt_peer_message_t>();
     char bytes[MT_PEER_DATAGRAM_MAX];
-    mt_peer_message_begin(m.get(), MT_PEER_NEWS);
+    mt_peer_message_begin(m.get(), MT_PEER_CHANGES);
     m->number = ++number;
     m->feeds[MT_FEED_ENGINES] = {newest, newest, reach, 0};
     m->spans[MT_FEED_ENGINES] = {base, reach};
@@ -627,7 +627,7 @@
       {"i-1", "127.0.0.1", ready, 5, 8, 9, "taken", 200}};  // and that newer
   for (const Row &row : rows) {
     mt_change_t change =
-        mt_change_named(row.kind, row.name, w.rev + row.reach);
+        mt_change_make(row.kind, row.name, w.rev + row.reach);
     mt_change_engine_t &engine = change.u.engine;
     snprintf(engine.domain, sizeof engine.domain, "d1");
     snprintf(engine.ip, sizeof engine.ip, "%s", row.ip);
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -1,4 +1,4 @@
-// peers_test.cc - what routers tell each other, without sockets
+// peers_test.cc - exchanges between routers, without sockets
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 extern "C" {
 #include "share_exchange.h"
-#include "load_teller.h"
+#include "load_reporter.h"
 #include "membership.h"
 #include "overload.h"
 #include "peer_message.h"
@@ -29,14 +29,15 @@
   return m;
 }
 
-TEST(PeerMessage, ComesOutAsItWentIn) {
+TEST(PeerMessage, RoundTripsEveryKind) {
   char bytes[MT_PEER_DATAGRAM_MAX];
   for (int kind = 0; kind < MT_PEER_KINDS; kind++) {
-    auto in = message_of((mt_peer_kind_t)kind), out = message_of(MT_PEER_ASK);
+    auto in = message_of((mt_peer_kind_t)kind),
+         out = message_of(MT_PEER_QUOTE_REQUEST);
     in->boot = UINT64_MAX;
     in->number = 7;
-    in->token = 1ull << 40;
-    in->pace = 150;
+    in->request_number = 1ull << 40;
+    in->interval = 150;
     in->groups = 8;
     in->group = 3;
     in->feeds[MT_FEED_ENGINES] = {5, 9, 7, 200};
@@ -48,18 +49,19 @@
     in->drains[in->drains_count++] = {99, 1780000000000, 700};
     in->spans[MT_FEED_ENGINES] = {4, 6};
     for (int k = 0; k < MT_CHANGE_KINDS; k++) {
-      mt_change_t change = mt_change_named((mt_change_kind_t)k, "i-1", 5 + k);
+      mt_change_t change = mt_change_make((mt_change_kind_t)k, "i-1", 5 + k);
       if (k == MT_CHANGE_ENGINE_READY || k == MT_CHANGE_ENGINE_DRAINING)
         change.u.engine = {"d1", "10.0.0.1", "s",          80,
                            64,   2500,       1780000000000};
-      if (k == MT_CHANGE_ROUTE_CLOSED || k == MT_CHANGE_ROUTE_OPENED)
-        change = mt_change_of_route((mt_change_kind_t)k, 7, 8, 5 + k);
+      if (k == MT_CHANGE_ROUTE_REMOVED || k == MT_CHANGE_ROUTE_ADDED)
+        change = mt_change_make_route((mt_change_kind_t)k, 7, 8, 5 + k);
       change.age = 30;
       in->changes[in->changes_count++] = change;
     }
     in->suspects[in->suspects_count++] = {
         41, 3, {{55, 10, true}, {56, 5, false}}, 2, 4, 1, 900, 1800000};
-    in->word = {MT_SUSPECT_MESSAGE_ENDED, 41, 99, 1234567, true, 30, 6000};
+    in->suspect_message = {
+        MT_SUSPECT_MESSAGE_ENDED, 41, 99, 1234567, true, 30, 6000};
     in->verdict = MT_TRIAL_BUSY;
     size_t n = mt_peer_message_pack(in.get(), bytes, sizeof bytes);
     ASSERT_GT(n, 0u);
@@ -78,16 +80,16 @@
     EXPECT_EQ(row.earlier_alone, 1);
     EXPECT_EQ(row.age, 900u);
     EXPECT_EQ(row.expires_in, 1800000u);
-    EXPECT_EQ(out->word.kind, MT_SUSPECT_MESSAGE_ENDED);
-    EXPECT_EQ(out->word.digest, 41u);
-    EXPECT_EQ(out->word.engine, 99u);
-    EXPECT_EQ(out->word.request, 1234567u);
-    EXPECT_TRUE(out->word.alone);
-    EXPECT_EQ(out->word.age, 30u);
-    EXPECT_EQ(out->word.lease, 6000u);
+    EXPECT_EQ(out->suspect_message.kind, MT_SUSPECT_MESSAGE_ENDED);
+    EXPECT_EQ(out->suspect_message.digest, 41u);
+    EXPECT_EQ(out->suspect_message.engine, 99u);
+    EXPECT_EQ(out->suspect_message.request, 1234567u);
+    EXPECT_TRUE(out->suspect_message.alone);
+    EXPECT_EQ(out->suspect_message.age, 30u);
+    EXPECT_EQ(out->suspect_message.lease, 6000u);
     EXPECT_EQ(out->verdict, MT_TRIAL_BUSY);
     EXPECT_EQ(out->boot, in->boot);
-    EXPECT_EQ(out->token, in->token);
+    EXPECT_EQ(out->request_number, in->request_number);
     EXPECT_EQ(out->groups, 8u);
     EXPECT_EQ(out->group, 3u);
     EXPECT_EQ(out->feeds[MT_FEED_ENGINES].newest, 5);
@@ -98,11 +100,11 @@
     EXPECT_EQ(out->members[0].domain, 77u);
     ASSERT_EQ(out->shares_count, 1u);
     EXPECT_EQ(out->shares[0].rates.served, 500);
-    // Loads, or what leaves: each kind has one of the two.
-    bool leaving = kind == MT_PEER_DRAINING;
-    ASSERT_EQ(out->engines_count, leaving ? 0u : 1u);
-    ASSERT_EQ(out->drains_count, leaving ? 1u : 0u);
-    if (leaving) {
+    // A kind has either a list of engines or a list of drains.
+    bool is_drains = kind == MT_PEER_DRAINS;
+    ASSERT_EQ(out->engines_count, is_drains ? 0u : 1u);
+    ASSERT_EQ(out->drains_count, is_drains ? 1u : 0u);
+    if (is_drains) {
       EXPECT_EQ(out->drains[0].engine, 99u);
       EXPECT_EQ(out->drains[0].started_at, 1780000000000);
       EXPECT_EQ(out->drains[0].age, 700u);
@@ -132,23 +134,24 @@
     EXPECT_EQ(e.port, 80);
     EXPECT_EQ(e.slots, 64);
     EXPECT_EQ(e.cold, 2500u);
-    EXPECT_EQ(out->changes[MT_CHANGE_ROUTE_CLOSED].u.path.route, 7u);
-    EXPECT_EQ(out->changes[MT_CHANGE_ROUTE_CLOSED].u.path.service, 8u);
+    EXPECT_EQ(out->changes[MT_CHANGE_ROUTE_REMOVED].u.path.route, 7u);
+    EXPECT_EQ(out->changes[MT_CHANGE_ROUTE_REMOVED].u.path.service, 8u);
   }
 }
 
-TEST(PeerMessage, NoBytesHarm) {
+TEST(PeerMessage, MalformedBytesAreBounded) {
   char bytes[MT_PEER_DATAGRAM_MAX];
-  auto in = message_of(MT_PEER_SUMMARY), out = message_of(MT_PEER_ASK);
+  auto in = message_of(MT_PEER_GROUP_SUMMARY),
+       out = message_of(MT_PEER_QUOTE_REQUEST);
   for (int i = 0; i < 20; i++)
     in->shares[in->shares_count++] = {(mt_id_t)i + 1, {1e12, -5}};
   for (int k = 0; k < MT_CHANGE_KINDS; k++)
     in->changes[in->changes_count++] =
-        mt_change_named((mt_change_kind_t)k, "i-1", 5 + k);
+        mt_change_make((mt_change_kind_t)k, "i-1", 5 + k);
   size_t n = mt_peer_message_pack(in.get(), bytes, sizeof bytes);
   ASSERT_TRUE(mt_peer_message_unpack(out.get(), bytes, n));
   ASSERT_EQ(out->changes_count, (size_t)MT_CHANGE_KINDS);
-  EXPECT_EQ(out->shares[0].rates.asked, 1000000000); // as much as may be
+  EXPECT_EQ(out->shares[0].rates.asked, 1000000000); // the upper bound
   EXPECT_EQ(out->shares[0].rates.served, 0);
   for (size_t cut = 0; cut < n; cut++)
     EXPECT_FALSE(mt_peer_message_unpack(out.get(), bytes, cut));
@@ -180,14 +183,14 @@
       m = mt_membership_t{};
       m.own_ip = ip(i);
       m.own_domain = (mt_id_t)(1 + i % domains);
-      m.own_source = true;
+      m.own_reaches_source = true;
       m.now = now;
       for (int k = 0; k < count; k++) {
-        mt_peer_t *peer = mt_membership_know(&m, ip(k));
+        mt_peer_t *peer = mt_membership_add(&m, ip(k));
         if (peer == nullptr) continue;
         peer->domain = (mt_id_t)(1 + k % domains);
-        peer->source = true;
-        peer->heard = now;
+        peer->reaches_source = true;
+        peer->last_seen = now;
       }
       mt_membership_update(&m, now);
     }
@@ -203,91 +206,91 @@
   }
 };
 
-// Within a failure domain every router hears each other group once; of every
-// other domain one router of each group does.
-TEST(Membership, EachHearsEveryOtherGroupAndDomainOnce) {
+// Within a failure domain every router receives the summary of each other
+// group once; from every other domain one router of each group does.
+TEST(Membership, EachGroupAndDomainIsSentToOnce) {
   for (int count : {2, 6, 8, 58, 300}) {
     Fleet fleet(count, 3);
     std::map<uint32_t, mt_membership_t *> by_ip;
     for (mt_membership_t &m : fleet.routers) by_ip[m.own_ip] = &m;
     for (mt_membership_t &to : fleet.routers) {
-      std::map<uint32_t, int> heard;
+      std::map<uint32_t, int> copies;
       for (mt_membership_t &from : fleet.routers) {
         if (from.own_ip == to.own_ip) continue;
         if (from.own_domain != to.own_domain) continue;
         uint32_t group = mt_membership_group(&from, from.own_ip);
         if (group == mt_membership_group(&from, to.own_ip)) continue;
-        heard[group] += mt_membership_tells(&from, to.own_ip);
+        copies[group] += mt_membership_sends_to(&from, to.own_ip);
       }
-      for (auto &group : heard) EXPECT_EQ(group.second, 1) << count;
+      for (auto &group : copies) EXPECT_EQ(group.second, 1) << count;
     }
-    // (domain that speaks, domain and group that hear)
-    std::map<std::array<uint32_t, 3>, int> spoken;
-    std::set<std::array<uint32_t, 3>> wanted;
+    // (sending domain, receiving domain and group)
+    std::map<std::array<uint32_t, 3>, int> sent_to;
+    std::set<std::array<uint32_t, 3>> expected;
     for (mt_membership_t &from : fleet.routers) {
       mt_peer_t *list[512];
-      size_t n = mt_membership_spoken_to(&from, list, 512);
+      size_t n = mt_membership_domain_receivers(&from, list, 512);
       for (size_t i = 0; i < n; i++) {
         mt_membership_t *to = by_ip[list[i]->ip];
         ASSERT_NE(to->own_domain, from.own_domain);
-        spoken[{from.own_domain, to->own_domain,
-                mt_membership_group(to, to->own_ip)}]++;
+        sent_to[{from.own_domain, to->own_domain,
+                 mt_membership_group(to, to->own_ip)}]++;
       }
       for (mt_membership_t &to : fleet.routers)
         if (to.own_domain != from.own_domain)
-          wanted.insert({from.own_domain, to.own_domain,
-                         mt_membership_group(&to, to.own_ip)});
+          expected.insert({from.own_domain, to.own_domain,
+                           mt_membership_group(&to, to.own_ip)});
     }
-    EXPECT_EQ(spoken.size(), wanted.size()) << count;
-    for (auto &row : spoken) EXPECT_EQ(row.second, 1) << count;
+    EXPECT_EQ(sent_to.size(), expected.size()) << count;
+    for (auto &row : sent_to) EXPECT_EQ(row.second, 1) << count;
   }
 }
 
-// A fleet of 2,000 routers is known as a whole, and a domain's routers speak
-// to each group of every other; a newcomer is told of all of them.
-TEST(Membership, NobodyIsLeftOutOfALargeFleet) {
+// All routers of a fleet of 2,000 are known, and a new router is sent all of
+// them.
+TEST(Membership, ALargeFleetIsKnownInFull) {
   for (int count : {300, 986, 2000}) {
     mt_membership_t m{};
     m.own_ip = 1;
     m.own_domain = 1;
     mt_membership_update(&m, 100000);
     for (int i = 1; i < count; i++) {
-      mt_peer_t *peer = mt_membership_know(&m, (uint32_t)(1 + i * 0x101));
+      mt_peer_t *peer = mt_membership_add(&m, (uint32_t)(1 + i * 0x101));
       ASSERT_NE(peer, nullptr) << i;
       peer->domain = (mt_id_t)(1 + i % 5);
-      peer->heard = 100000;
+      peer->last_seen = 100000;
     }
     mt_membership_update(&m, 100000);
     EXPECT_EQ(m.live, count);
     EXPECT_EQ(m.refused, 0u);
-    std::set<uint32_t> told;
+    std::set<uint32_t> listed;
     for (size_t next = 0; next < m.count;) {
       static mt_peer_message_t message;
-      mt_peer_message_begin(&message, MT_PEER_WELCOME);
+      mt_peer_message_begin(&message, MT_PEER_MEMBERS);
       next = mt_share_exchange_list_members(&m, next, &message);
       char bytes[MT_PEER_DATAGRAM_MAX];
       EXPECT_GT(mt_peer_message_pack(&message, bytes, sizeof bytes), 0u);
       for (size_t i = 0; i < message.members_count; i++)
-        told.insert(message.members[i].ip);
+        listed.insert(message.members[i].ip);
     }
-    EXPECT_EQ(told.size(), (size_t)count);
+    EXPECT_EQ(listed.size(), (size_t)count);
     mt_membership_free(&m);
   }
 }
 
-// Addresses beyond what a fleet can have are not taken, and that is counted.
+// Addresses beyond the bound are not added, and are counted.
 TEST(Membership, AddressesAreBounded) {
   mt_membership_t m{};
   m.own_ip = 1;
   mt_membership_update(&m, 100000);
-  for (uint32_t i = 2; i < 10002; i++) mt_membership_know(&m, i);
+  for (uint32_t i = 2; i < 10002; i++) mt_membership_add(&m, i);
   EXPECT_EQ(m.count + m.refused, 10000u);
-  EXPECT_GE(m.count, 4000u); // of 2,000 routers, each replaced
+  EXPECT_GE(m.count, 4000u); // 2,000 routers, all replaced once
   EXPECT_GT(m.refused, 0u);
   mt_membership_free(&m);
 }
 
-TEST(Membership, AllAgreeOnOwnersWithinTheFailureDomain) {
+TEST(Membership, AllAgreeOnOwners) {
   for (int count : {6, 58, 300}) {
     Fleet fleet(count, 5);
     std::map<uint32_t, int> cached;
@@ -305,27 +308,27 @@
   }
 }
 
-TEST(Membership, ARouterThatHasJustStartedAsksOften) {
+TEST(Membership, AStartingRouterProbesOften) {
   struct Row {
-    mt_ms_t started, asked; // ago
-    bool asks;
+    mt_ms_t started, probed; // ms ago
+    bool due;
   } rows[] = {{0, 0, true},       {300, 150, true},   {2900, 150, true},
               {3100, 150, false}, {9000, 999, false}, {9000, 1000, true}};
   for (const Row &row : rows) {
     mt_membership_t m{};
     m.own_ip = 1;
     mt_membership_update(&m, 100000 - row.started);
-    mt_peer_t *seed = mt_membership_know(&m, 2);
-    seed->probed = 100000 - row.asked;
+    mt_peer_t *seed = mt_membership_add(&m, 2);
+    seed->probed = 100000 - row.probed;
     mt_membership_update(&m, 100000);
-    EXPECT_EQ(mt_membership_probes(&m, seed), row.asks)
-        << row.started << " " << row.asked;
-    EXPECT_EQ(seed->probed == m.now, row.asks || row.asked == 0);
+    EXPECT_EQ(mt_membership_should_probe(&m, seed), row.due)
+        << row.started << " " << row.probed;
+    EXPECT_EQ(seed->probed == m.now, row.due || row.probed == 0);
     mt_membership_free(&m);
   }
 }
 
-TEST(Membership, OwnersThatDoNotAnswerAreLeft) {
+TEST(Membership, OwnersThatDoNotAnswerAreReplaced) {
   Fleet fleet(12, 3);
   mt_membership_t &m = fleet.routers[0];
   uint64_t engine = 1;
@@ -333,21 +336,21 @@
   uint32_t first = mt_membership_owner(&m, engine, 2);
   fleet.peer(m, first)->asked = fleet.now;
   mt_membership_update(&m, fleet.now + 50);
-  EXPECT_EQ(mt_membership_owner(&m, engine, 2), first); // it still may
+  EXPECT_EQ(mt_membership_owner(&m, engine, 2), first); // may still answer
   mt_membership_update(&m, fleet.now + 100);
   uint32_t second = mt_membership_owner(&m, engine, 2);
   EXPECT_NE(second, first);
   EXPECT_EQ(fleet.peer(m, second)->domain, 2u);
-  mt_membership_update(&m, fleet.now + 1000); // it gets another chance
+  mt_membership_update(&m, fleet.now + 1000); // no longer suspected
   EXPECT_EQ(mt_membership_owner(&m, engine, 2), first);
   for (size_t i = 0; i < m.count; i++)
-    if (m.list[i]->domain == 2) m.list[i]->heard = 1; // all of them lost
+    if (m.list[i]->domain == 2) m.list[i]->last_seen = 1; // all of them lost
   uint32_t other = mt_membership_owner(&m, engine, 2);
   EXPECT_NE(other, 0u);
   EXPECT_TRUE(other == m.own_ip || fleet.peer(m, other)->domain != 2);
 }
 
-TEST(Membership, SomeOfEachFailureDomainWatch) {
+TEST(Membership, EachFailureDomainHasWatchers) {
   struct Row {
     int count, domains, watchers;
   } rows[] = {{1, 1, 1},  {6, 3, 6},   {8, 4, 8},    {9, 3, 6},
@@ -359,23 +362,23 @@
       watchers += mt_membership_watches(&m);
     EXPECT_EQ(watchers, row.watchers) << row.count;
   }
-  // Who does not reach the source is followed by another.
+  // Watchers that do not reach the source are replaced by others.
   Fleet fleet(30, 3);
   std::set<uint32_t> before, after;
   for (mt_membership_t &m : fleet.routers)
     if (mt_membership_watches(&m)) before.insert(m.own_ip);
   for (mt_membership_t &m : fleet.routers)
     for (uint32_t cut : before)
-      if (mt_peer_t *peer = fleet.peer(m, cut)) peer->source = false;
+      if (mt_peer_t *peer = fleet.peer(m, cut)) peer->reaches_source = false;
   for (mt_membership_t &m : fleet.routers)
     if (before.count(m.own_ip) == 0 && mt_membership_watches(&m))
       after.insert(m.own_ip);
   EXPECT_EQ(after.size(), 6u);
-  // Where nobody reaches it a few go on trying, not all.
+  // Where no router reaches it a few keep trying, not all.
   size_t trying = 0;
   for (mt_membership_t &m : fleet.routers) {
-    m.own_source = false;
-    for (size_t i = 0; i < m.count; i++) m.list[i]->source = false;
+    m.own_reaches_source = false;
+    for (size_t i = 0; i < m.count; i++) m.list[i]->reaches_source = false;
     trying += mt_membership_watches(&m);
   }
   EXPECT_EQ(trying, 6u);
@@ -385,8 +388,8 @@
 
 // {== Loads ================================================================
 
-// Datagrams come from anybody: loads were kept for any engine that they
-// named.
+// The load book is bounded: forged datagrams may report loads at any number
+// of engines that do not exist.
 TEST(LoadBook, EnginesFromDatagramsAreBounded) {
   mt_load_table_t book{};
   mt_load_row_t row{};
@@ -396,8 +399,7 @@
   for (uint64_t engine = 1; engine <= 40000; engine++)
     mt_load_table_set(&book, engine, &row);
   EXPECT_LE(book.engines.used, 16384u);
-  EXPECT_EQ(mt_load_table_sum(&book, 1, 0, 1).running, 1)
-      << "the first stays";
+  EXPECT_EQ(mt_load_table_sum(&book, 1, 0, 1).running, 1) << "first is kept";
   mt_load_table_expire(&book, 2);
   EXPECT_EQ(book.engines.used, 0u);
   mt_load_table_free(&book);
@@ -413,10 +415,10 @@
   b.router = 2;
   b.load = {10, 20, 1};
   b.valid_until = 90;
-  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 0); // the first tells nothing
+  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 0); // nothing to compare with
   a.tokens_processed = 1500;
   EXPECT_EQ(mt_load_table_set(&book, 7, &a), 500);
-  a.tokens_processed = 100; // it was started anew
+  a.tokens_processed = 100; // the router has restarted
   EXPECT_EQ(mt_load_table_set(&book, 7, &a), 0);
   mt_load_table_set(&book, 7, &b);
   mt_load_table_set(&book, 8, &b);
@@ -425,7 +427,7 @@
   EXPECT_EQ(mt_load_table_sum(&book, 7, 2, 40).running, 3);
   EXPECT_EQ(mt_load_table_sum(&book, 9, 0, 40).held, 0);
   EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 60).pending_prefill,
-            10); // a: too old
+            10); // a has expired
   mt_load_table_expire(&book, 60);
   EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 40).pending_prefill, 10);
   mt_load_table_expire(&book, 100);
@@ -433,68 +435,70 @@
   mt_load_table_free(&book);
 }
 
-struct Told {
+struct Reports {
   std::map<uint32_t, std::vector<uint64_t>> rows;
   static uint32_t owner (void *, const mt_engine_t *e) {
     return (uint32_t)(e->key % 2) + 1;
   }
-  static void tell (void *ud, uint32_t to, mt_engine_t **engines,
-                    size_t count) {
+  static void report (void *ud, uint32_t to, mt_engine_t **engines,
+                      size_t count) {
     for (size_t i = 0; i < count; i++) {
-      ((Told *)ud)->rows[to].push_back(engines[i]->key);
+      ((Reports *)ud)->rows[to].push_back(engines[i]->key);
       engines[i]->load_dirty = false;
       engines[i]->told = 1000;
     }
   }
 };
 
-TEST(LoadTeller, TellsChangesAndRepeatsWhatStands) {
+TEST(LoadReporter, ReportsChangesAndRepeatsRunningLoads) {
   mt_engines_t engines{};
   for (int i = 0; i < 100; i++) {
     mt_engine_t *e = mt_engines_add(&engines, std::to_string(i).c_str());
     if (i < 80) mt_engine_load_changed(e);
   }
-  Told told;
-  mt_load_teller_t teller{};
-  const mt_load_teller_calls_t calls = {Told::owner, Told::tell, &told};
-  mt_load_teller_tick(&teller, &engines, 1000, &calls);
-  EXPECT_EQ(told.rows[1].size() + told.rows[2].size(), 80u);
-  for (auto &to : told.rows)
+  Reports reports;
+  mt_load_reporter_t reporter{};
+  const mt_load_reporter_callbacks_t callbacks = {Reports::owner,
+                                                  Reports::report, &reports};
+  mt_load_reporter_tick(&reporter, &engines, 1000, &callbacks);
+  EXPECT_EQ(reports.rows[1].size() + reports.rows[2].size(), 80u);
+  for (auto &to : reports.rows)
     for (uint64_t key : to.second) EXPECT_EQ(key % 2 + 1, to.first);
-  told.rows.clear();
+  reports.rows.clear();
   engines.list[0]->local.running = 1;
   mt_engine_load_changed(engines.list[0]);
-  engines.list[0]->load_dirty = false; // its owner was told at once
-  mt_load_teller_tick(&teller, &engines, 1100, &calls);
-  EXPECT_TRUE(told.rows.empty());
-  mt_load_teller_tick(&teller, &engines, 2000, &calls);
-  EXPECT_EQ(told.rows[1].size() + told.rows[2].size(), 1u);
-  mt_load_teller_free(&teller);
+  engines.list[0]->load_dirty = false; // it was reported at once
+  mt_load_reporter_tick(&reporter, &engines, 1100, &callbacks);
+  EXPECT_TRUE(reports.rows.empty());
+  mt_load_reporter_tick(&reporter, &engines, 2000, &callbacks);
+  EXPECT_EQ(reports.rows[1].size() + reports.rows[2].size(), 1u);
+  mt_load_reporter_free(&reporter);
   mt_engines_free(&engines);
 }
 
-// A tick looks at engines that this router uses, however many there are.
-TEST(LoadTeller, LooksAtWhatIsUsed) {
+// A tick visits only the engines that this router uses, however many exist.
+TEST(LoadReporter, VisitsOnlyEnginesInUse) {
   for (int count : {100, 1000, 10000, 20000}) {
     mt_engines_t engines{};
-    Told told;
-    mt_load_teller_t teller{};
-    const mt_load_teller_calls_t calls = {Told::owner, Told::tell, &told};
+    Reports reports;
+    mt_load_reporter_t reporter{};
+    const mt_load_reporter_callbacks_t callbacks = {
+        Reports::owner, Reports::report, &reports};
     for (int i = 0; i < count; i++)
       mt_engines_add(&engines, std::to_string(i).c_str());
     for (size_t i = 0; i < 10; i++) mt_engine_load_changed(engines.list[i]);
     mt_engine_set_reachable(engines.list[20], false, 1000);
     engines.list[0]->local.running = 1;
-    mt_load_teller_tick(&teller, &engines, 1000, &calls);
+    mt_load_reporter_tick(&reporter, &engines, 1000, &callbacks);
     EXPECT_EQ(engines.active_count, 11u) << count;
-    mt_load_teller_tick(&teller, &engines, 1100, &calls);
-    EXPECT_EQ(engines.active_count, 2u) << count; // runs; out of reach
+    mt_load_reporter_tick(&reporter, &engines, 1100, &callbacks);
+    EXPECT_EQ(engines.active_count, 2u) << count; // running; unreachable
     mt_engines_remove(&engines, engines.list[20]);
     mt_engines_remove(&engines, engines.list[0]);
     EXPECT_EQ(engines.active_count, 0u) << count;
     for (size_t i = 0; i < engines.count; i++)
       ASSERT_EQ(engines.list[i]->list_index, i);
-    mt_load_teller_free(&teller);
+    mt_load_reporter_free(&reporter);
     mt_engines_free(&engines);
   }
 }
@@ -531,7 +535,7 @@
   return q;
 }
 
-TEST(RelayQuotes, ARequestGoesWhereOwnersSayThereIsRoom) {
+TEST(RelayQuotes, ARequestGoesWhereOwnersReportCapacity) {
   Relay w(8);
   w.declare();
   w.relay->routers = 2;
@@ -543,14 +547,14 @@
   for (uint64_t key : keys) quotes.push_back(quote_of(key, 500000));
   quotes[2] = quote_of(keys[2], 0);
   quote(w, 1, {quotes[0], quotes[1]});
-  EXPECT_EQ(w.effects.count, 0u); // two answers are awaited
+  EXPECT_EQ(w.effects.count, 0u); // two quotes are missing
   quote(w, 1, {quotes[2], quotes[3]});
   const mt_relay_effect_t *fx = w.find(MT_RELAY_DO_START, 1);
   ASSERT_NE(fx, nullptr);
   EXPECT_EQ(fx->u.start.engine, keys[2]);
 }
 
-TEST(RelayQuotes, TheEngineThatKeepsThePartsIsPreferred) {
+TEST(RelayQuotes, TheEngineThatHoldsThePrefixIsPreferred) {
   Relay w(8);
   w.declare();
   w.relay->routers = 2;
@@ -564,7 +568,7 @@
   EXPECT_EQ(w.find(MT_RELAY_DO_START, 1)->u.start.engine, keys[3]);
 }
 
-TEST(RelayQuotes, SilentOwnersHoldNothingUp) {
+TEST(RelayQuotes, SilentOwnersDelayNothing) {
   Relay w(8);
   w.declare();
   w.relay->routers = 2;
@@ -575,13 +579,14 @@
   EXPECT_NE(w.find(MT_RELAY_DO_START, 1), nullptr);
 }
 
-// Asking others once more was worth nothing: the refusal comes at once.
-TEST(RelayQuotes, OwnersAreAskedOnceThenItIsDecided) {
+// If no engine that was asked about has room, the request is refused at once.
+// A second round of quotes for other engines did not help.
+TEST(RelayQuotes, OwnersAreAskedOnce) {
   struct Row {
     const char *what;
-    int64_t pending_prefill; // at every engine that was asked for
+    int64_t pending_prefill; // at every engine that was asked about
     bool taken;
-  } rows[] = {{"room at them", 0, true}, {"none", 500000, false}};
+  } rows[] = {{"room", 0, true}, {"no room", 500000, false}};
   for (const Row &row : rows) {
     Relay w(8);
     w.declare();
@@ -599,17 +604,17 @@
   }
 }
 
-// Engines m1 to m8 in the own failure domain, m9 to m16 in another.
-TEST(RelayQuotes, OtherFailureDomainsAreAskedWhenTheOwnHasNoRoom) {
+// Engines m1 to m8 are in the own failure domain, m9 to m16 in another.
+TEST(RelayQuotes, OtherFailureDomainsAreAskedWhenTheOwnIsFull) {
   struct Row {
     const char *what;
-    int64_t near, remote; // unread at every engine there
+    int64_t near, remote; // pending prefill at every engine there
     bool off;             // the second round
     bool taken;
-  } rows[] = {{"room here", 0, 0, false, true},
-              {"room elsewhere", 500000, 0, false, true},
-              {"room nowhere", 500000, 500000, false, false},
-              {"switched off", 500000, 0, true, false}};
+  } rows[] = {{"room in the own domain", 0, 0, false, true},
+              {"room in the other domain", 500000, 0, false, true},
+              {"no room", 500000, 500000, false, false},
+              {"second round switched off", 500000, 0, true, false}};
   for (const Row &row : rows) {
     Relay w(16);
     w.declare();
@@ -623,21 +628,23 @@
       if (i > 8) remote.insert(e->key);
     }
     w.ask(1, "/stream/x");
-    size_t told = 0, rounds = 0;
+    size_t quoted = 0, rounds = 0;
     std::vector<uint64_t> keys = asked(w, 1);
     while (!keys.empty()) {
       std::vector<mt_relay_quote_t> quotes;
-      size_t abroad = 0;
-      for (; told < keys.size(); told++) {
-        bool is_far = remote.count(keys[told]) > 0;
-        abroad += is_far;
+      size_t in_other_domains = 0;
+      for (; quoted < keys.size(); quoted++) {
+        bool is_far = remote.count(keys[quoted]) > 0;
+        in_other_domains += is_far;
         quotes.push_back(
-            quote_of(keys[told], is_far ? row.remote : row.near));
+            quote_of(keys[quoted], is_far ? row.remote : row.near));
       }
-      // At first the own domain's, and the engine that is home for all.
-      EXPECT_TRUE(rounds == 0 ? abroad <= 1 : abroad == quotes.size());
+      // First round: the own domain's engines, and the home engine for all
+      // routers, which may be in the other domain.
+      EXPECT_TRUE(rounds == 0 ? in_other_domains <= 1
+                              : in_other_domains == quotes.size());
       rounds++;
-      // Room at the home for all would be room elsewhere: not in this test.
+      // The home engine has no more room than the own domain's.
       if (rounds == 1)
         for (mt_relay_quote_t &q : quotes) q.peers.pending_prefill = row.near;
       quote(w, 1, quotes);
@@ -649,8 +656,8 @@
   }
 }
 
-// Each request looks at other engines, and at so many only.
-TEST(RelayQuotes, RequestsDoNotAllLookAtTheSameEngines) {
+// Requests spread their questions over all engines.
+TEST(RelayQuotes, RequestsAskAboutDifferentEngines) {
   Relay w(60);
   w.declare();
   w.relay->routers = 2;
@@ -661,12 +668,12 @@
     std::vector<uint64_t> keys = asked(w, number);
     for (size_t i = 2; i < keys.size(); i++) asked_about[keys[i]]++;
   }
-  EXPECT_GE(asked_about.size(), 58u); // all but the homes
+  EXPECT_GE(asked_about.size(), 58u); // all but the two home engines
   for (auto &engine : asked_about)
     EXPECT_LE(engine.second, 5 * 2 * requests / 60) << engine.first;
 }
 
-TEST(RelayQuotes, AloneNobodyIsAsked) {
+TEST(RelayQuotes, ASingleRouterAsksNobody) {
   Relay w(8);
   w.declare();
   w.ask(1, "/stream/x");
@@ -674,7 +681,7 @@
   EXPECT_NE(w.find(MT_RELAY_DO_START, 1), nullptr);
 }
 
-TEST(RelayQuotes, ACallerMayLeaveMeanwhile) {
+TEST(RelayQuotes, ACallerMayDisconnectWhileQuotesArePending) {
   Relay w(8);
   w.declare();
   w.relay->routers = 2;
@@ -682,12 +689,12 @@
   std::vector<uint64_t> keys = asked(w, 1);
   w.step(w.of(MT_RELAY_CALLER_LEFT, 1));
   EXPECT_EQ(w.relay->count, 0u);
-  quote(w, 1, {quote_of(keys[0], 0)}); // too late, and no harm
+  quote(w, 1, {quote_of(keys[0], 0)}); // late, has no effect
   EXPECT_EQ(w.effects.count, 0u);
   EXPECT_TRUE(w.idle());
 }
 
-TEST(RelayQuotes, AOwnerTellsWhatOthersHaveAndWhatIsKept) {
+TEST(RelayQuotes, AnOwnerQuotesPeerLoadsAndTheHeldPrefix) {
   Relay w(1);
   w.declare();
   mt_engine_t *e = w.find("m1");
@@ -711,28 +718,28 @@
   e->local = {};
 }
 
-TEST(RelayShares, WhatDidNotRunIsNotServed) {
+TEST(RelayShares, RequestsThatDidNotRunAreNotCountedAsServed) {
   struct Row {
     const char *name;
     std::function<void(Relay &)> end;
     bool served;
   } rows[] = {
-      {"left before an event",
+      {"caller left before an event",
        [] (Relay &w) { w.step(w.of(MT_RELAY_CALLER_LEFT, 1)); }, false},
-      {"left after an event",
+      {"caller left after an event",
        [] (Relay &w) {
          w.head(1, 200, true);
          w.event(1, 0);
          w.step(w.of(MT_RELAY_CALLER_LEFT, 1));
        },
        true},
-      {"lost by its engine before an event",
+      {"engine lost before an event",
        [] (Relay &w) {
          w.relay->catalog->routes[2].attempts = 1;
          w.fail(1);
        },
        false},
-      {"refused by all",
+      {"rejected by all engines",
        [] (Relay &w) { w.head(1, 503, false, MT_RELAY_NOT_RUN); }, false},
   };
   for (const Row &row : rows) {
@@ -751,37 +758,37 @@
 
 // {== Overload =============================================================
 
-TEST(Overload, StreamsAreRefusedWhenItIsSevere) {
+TEST(Overload, StreamsAreRefusedUnderSevereOverload) {
   Relay w;
   w.declare();
   w.relay->overloaded = true;
   w.ask(1, "/stream/x");
   EXPECT_EQ(w.refusal(), MT_RELAY_FULL);
   EXPECT_GT(w.find(MT_RELAY_DO_REFUSE)->u.refuse.retry_after, 0u);
-  w.ask(2, "/once/x"); // costs little
+  w.ask(2, "/once/x"); // no stream: costs little
   EXPECT_NE(w.find(MT_RELAY_DO_START, 2), nullptr);
   w.relay->overloaded = false;
   w.ask(3, "/stream/x");
   EXPECT_NE(w.find(MT_RELAY_DO_START, 3), nullptr);
 }
 
-TEST(Overload, BeginsAndEndsWithTheLengthOfTurns) {
+TEST(Overload, FollowsTheLengthOfTicks) {
   struct Row {
     const char *name;
-    std::vector<std::pair<int, mt_ms_t>> turns; // how many, of how many ms
+    std::vector<std::pair<int, mt_ms_t>> turns; // number of ticks, length, ms
     bool overloaded;
   } rows[] = {{"idle", {{100, 25}}, false},
               {"one long pause", {{10, 25}, {1, 60}, {10, 25}}, false},
-              {"long turns", {{30, 150}}, true},
+              {"late", {{30, 150}}, true},
               {"a little late", {{100, 60}}, false},
-              {"late, then well", {{30, 150}, {200, 25}}, false},
+              {"late, then recovered", {{30, 150}, {200, 25}}, false},
               {"late, then a little", {{30, 150}, {5, 50}}, true}};
   for (const Row &row : rows) {
     mt_overload_t overload{};
     int changes = 0;
     for (auto &turns : row.turns)
       for (int i = 0; i < turns.first; i++)
-        changes += mt_overload_turn(&overload, turns.second, 25);
+        changes += mt_overload_update(&overload, turns.second, 25);
     EXPECT_EQ(overload.overloaded, row.overloaded) << row.name;
     EXPECT_EQ(changes % 2 == 1, row.overloaded) << row.name;
   }
--- a/tests/request_digest_test.cc
+++ b/tests/request_digest_test.cc
@@ -1,4 +1,4 @@
-// request_digest_test.cc - what counts as the same request
+// request_digest_test.cc - which requests have the same digest
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,7 +19,7 @@
   return mt_request_digest(&text);
 }
 
-TEST(RequestDigest, TellsTextsApart) {
+TEST(RequestDigest, DependsOnEveryPart) {
   const uint64_t first = digest("POST", "h", "/a/b", "body");
   EXPECT_EQ(first, digest("POST", "h", "/a/b", "body"));
   EXPECT_NE(first, 0u);
--- a/tests/revision_test.cc
+++ b/tests/revision_test.cc
@@ -49,14 +49,14 @@
   char bytes[MT_PEER_DATAGRAM_MAX];
   auto in = std::make_unique<mt_peer_message_t>(),
        out = std::make_unique<mt_peer_message_t>();
-  mt_peer_message_begin(in.get(), MT_PEER_NEWS);
+  mt_peer_message_begin(in.get(), MT_PEER_CHANGES);
   in->feeds[MT_FEED_ENGINES] = {now, now, old, 200};
   in->feeds[MT_FEED_DECLARATIONS] = {old, old, none, 200};
   in->spans[MT_FEED_ENGINES] = {old, now};
   in->changes[in->changes_count++] =
-      mt_change_named(MT_CHANGE_ENGINE_GONE, "i-1", old);
+      mt_change_make(MT_CHANGE_ENGINE_GONE, "i-1", old);
   in->changes[in->changes_count++] =
-      mt_change_named(MT_CHANGE_ENGINE_GONE, "i-2", now);
+      mt_change_make(MT_CHANGE_ENGINE_GONE, "i-2", now);
   size_t n = mt_peer_message_pack(in.get(), bytes, sizeof bytes);
   ASSERT_TRUE(mt_peer_message_unpack(out.get(), bytes, n));
   for (int i = 0; i < MT_FEEDS; i++) {
@@ -104,10 +104,10 @@
     mt_feed_state_t feed{};
     mt_feed_state_read(&feed, mt_revision(1, 90), mt_revision(1, 100), 1000,
                        true);
-    mt_feed_state_heard(&feed, row.newest, row.at, 1500);
+    mt_feed_state_merge(&feed, row.newest, row.at, 1500);
     EXPECT_EQ(feed.told, row.known) << row.what;
     EXPECT_EQ(feed.taken, row.known) << row.what;
-    EXPECT_EQ(mt_feed_state_lacks(&feed), row.lacks) << row.what;
+    EXPECT_EQ(mt_feed_state_is_behind(&feed), row.lacks) << row.what;
   }
 }
 
--- a/tests/suspects_test.cc
+++ b/tests/suspects_test.cc
@@ -290,7 +290,8 @@
     pass(0);
   }
   void open (Router *r) {
-    const mt_suspect_exchange_calls_t calls = {begin, send, tried, note, r};
+    const mt_suspect_exchange_callbacks_t calls = {begin, send, tried, note,
+                                                   r};
     mt_suspect_exchange_open(&r->exchange, &r->members, &r->suspects, &calls,
                              random());
   }
@@ -301,7 +302,7 @@
     open(r);
     for (auto &other : routers)
       if (other.get() != r && !other->partitioned && !r->partitioned)
-        mt_suspect_exchange_greet(&other->exchange, r->members.own_ip);
+        mt_suspect_exchange_sync_peer(&other->exchange, r->members.own_ip);
   }
   static mt_peer_message_t *begin (void *ud, mt_peer_kind_t kind) {
     auto *r = (Router *)ud;
@@ -321,9 +322,8 @@
       r->fleet->bytes += n;
       if (other->partitioned != r->partitioned) continue;
       if (r->fleet->random() % 1000 < r->fleet->lost) continue;
-      mt_peer_t *peer =
-          mt_membership_know(&other->members, r->members.own_ip);
-      mt_suspect_exchange_take(&other->exchange, peer, copy.get());
+      mt_peer_t *peer = mt_membership_add(&other->members, r->members.own_ip);
+      mt_suspect_exchange_receive(&other->exchange, peer, copy.get());
     }
   }
   static void tried (void *ud, const mt_suspect_message_t *,
@@ -337,10 +337,10 @@
       for (auto &r : routers) {
         for (auto &other : routers) {
           mt_peer_t *peer =
-              mt_membership_know(&r->members, other->members.own_ip);
+              mt_membership_add(&r->members, other->members.own_ip);
           if (peer != nullptr) peer->domain = other->members.own_domain;
           if (peer != nullptr && other->partitioned == r->partitioned)
-            peer->heard = now;
+            peer->last_seen = now;
         }
         mt_membership_update(&r->members, now);
         mt_suspect_exchange_tick(&r->exchange);
@@ -355,7 +355,7 @@
                                        .alone = alone,
                                        .age = 0,
                                        .lease = 5000};
-    mt_suspect_exchange_say(&routers[router]->exchange, &word);
+    mt_suspect_exchange_send(&routers[router]->exchange, &word);
   }
   // Reports an end three times, as routers do.
   void ended (size_t router, uint64_t engine, bool alone = false) {
