--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -125,7 +125,7 @@
   mt_text_add(out, target.p, target.n);
   mt_text_add(out, " HTTP/1.1\r\n", 11);
   g->dialect->write_request(mt_http_exchange_headers(x), &sent, out);
-  if (body.n > 0 || !mt_bytes_same(method, "GET"))
+  if (body.n > 0 || !mt_bytes_equal_nocase(method, "GET"))
     mt_text_format(out, "Content-Length: %zu\r\n", body.n);
   mt_text_add(out, "\r\n", 2);
 }
@@ -137,7 +137,7 @@
 */
 static void do_start (mt_gateway_t *g, passage_t *p,
                       const mt_relay_effect_t *fx) {
-  if (!mt_http_exchange_look(p->exchange)) return;
+  if (!mt_http_exchange_check_connected(p->exchange)) return;
   mt_engine_t *engine =
       mt_engines_get(&g->relay->engines, fx->u.start.engine);
   if (p->attempt != NULL) p->attempt->passage = NULL; /* it ends by itself */
@@ -227,7 +227,7 @@
 */
 void mt_gateway_step (mt_gateway_t *g, mt_relay_event_t *event) {
   mt_relay_effects_t effects = {0};
-  event->now = mt_wake_clock_now(g->loop);
+  event->now = mt_boot_clock_now(g->loop);
   mt_relay_step(g->relay, event, &effects);
   for (size_t i = 0; i < effects.count; i++) execute(g, &effects.list[i]);
   free(effects.list);
@@ -254,7 +254,7 @@
 void mt_gateway_engine_restarted (mt_gateway_t *g, const mt_engine_t *e) {
   mt_relay_event_t event = {.kind = MT_RELAY_RESTARTED};
   event.u.restarted = e->key;
-  mt_http_client_forget(g->engines, e->key);
+  mt_http_client_close_idle(g->engines, e->key);
   mt_gateway_step(g, &event);
 }
 
@@ -264,7 +264,7 @@
 
 /* A request has come: the next tick is near, however long it was to be. */
 static void hurry (mt_gateway_t *g) {
-  g->busy = mt_wake_clock_now(g->loop);
+  g->busy = mt_boot_clock_now(g->loop);
   if (g->pace == MT_TICK_BUSY_MS) return;
   g->pace = MT_TICK_BUSY_MS;
   g->ticked = g->busy;
@@ -328,7 +328,7 @@
   p->status = status;
   p->head.n = 0;
   for (size_t i = 0; i < headers->count; i++) {
-    if (mt_http_headers_is_hop(headers, i)) continue;
+    if (mt_http_headers_is_hop_by_hop(headers, i)) continue;
     mt_bytes_t name = mt_http_headers_name_at(headers, i);
     mt_bytes_t value = mt_http_headers_value_at(headers, i);
     mt_text_add(&p->head, name.p, name.n);
@@ -419,10 +419,10 @@
   const mt_engine_t *e = mt_engines_get(&g->relay->engines, endpoint);
   mt_relay_event_t event = {.kind = MT_RELAY_PROBED};
   event.u.probed.engine = endpoint;
-  event.u.probed.up = how == MT_HTTP_UP;
+  event.u.probed.up = how == MT_HTTP_CONNECTED;
   event.u.probed.refused = how == MT_HTTP_REFUSED;
   if (e != NULL)
-    mt_gateway_log_engine(g->log, mt_wake_clock_now(g->loop), e,
+    mt_gateway_log_engine(g->log, mt_boot_clock_now(g->loop), e,
                           mt_gateway_probe_name(how));
   mt_gateway_step(ud, &event);
 }
@@ -461,12 +461,12 @@
 /* Operators see the list (GET) or clear one (DELETE), here and everywhere. */
 static void on_suspects_asked (mt_gateway_t *g, mt_http_exchange_t *x) {
   uint64_t digest = mt_suspects_page_digest(mt_http_exchange_target(x));
-  bool clears = mt_bytes_same(mt_http_exchange_method(x), "DELETE");
+  bool clears = mt_bytes_equal_nocase(mt_http_exchange_method(x), "DELETE");
   bool known = mt_suspects_get(&g->relay->suspects, digest) != NULL;
   const mt_suspect_message_t word = {.kind = MT_SUSPECT_MESSAGE_ANSWERED,
                                      .digest = digest};
   if (clears && known) mt_gateway_peers_say(g->peers, &word);
-  mt_suspects_page_list(&g->relay->suspects, mt_wake_clock_now(g->loop),
+  mt_suspects_page_list(&g->relay->suspects, mt_boot_clock_now(g->loop),
                         &g->scratch);
   answer_text(g, x, clears && !known ? 404 : 200);
 }
@@ -496,7 +496,7 @@
 }
 
 static void finish (mt_gateway_t *g, const char *why) {
-  mt_log_line(g->log, MT_LOG_BELIEF, mt_wake_clock_now(g->loop), "stop",
+  mt_log_line(g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop), "stop",
               "requests=%zu outcome=%s", g->relay->count, why);
   mt_log_writer_flush(g->log);
   uv_stop(g->loop);
@@ -504,7 +504,7 @@
 
 /* A stop goes in steps: out of the balancer, idle connections, the end. */
 static void go_on_stopping (mt_gateway_t *g) {
-  mt_ms_t since = mt_wake_clock_now(g->loop) - g->stopping;
+  mt_ms_t since = mt_boot_clock_now(g->loop) - g->stopping;
   if (since > LEAVE_MS) {
     mt_http_server_close_idle(g->callers);
     if (mt_http_server_connections(g->callers) == 0) {
@@ -517,7 +517,7 @@
 
 /* Whoever cannot keep up sends its callers elsewhere until it can. */
 static void judge_load (mt_gateway_t *g) {
-  mt_ms_t now = mt_wake_clock_now(g->loop);
+  mt_ms_t now = mt_boot_clock_now(g->loop);
   mt_ms_t took = g->ticked ? now - g->ticked : g->pace;
   g->ticked = now;
   bool changed = mt_overload_update(&g->overload, took, g->pace);
@@ -525,7 +525,7 @@
   if (!changed) return;
   bool overloaded = g->overload.overloaded;
   mt_http_server_drain(g->callers, overloaded || g->stopping != 0);
-  mt_log_line(g->log, MT_LOG_BELIEF, now, "overload",
+  mt_log_line(g->log, MT_LOG_STATE, now, "overload",
               "lag=%.0f requests=%zu connections=%zu outcome=%s",
               g->overload.lag, g->relay->count,
               mt_http_server_connections(g->callers),
@@ -534,18 +534,18 @@
 
 /* All that was believed is as much older. */
 static void note_sleep (mt_gateway_t *g) {
-  mt_ms_t now = mt_wake_clock_now(g->loop);
-  mt_ms_t slept = mt_wake_clock_asleep(g->loop) - g->asleep;
+  mt_ms_t now = mt_boot_clock_now(g->loop);
+  mt_ms_t slept = mt_boot_clock_suspended(g->loop) - g->asleep;
   g->asleep += slept;
   if (slept > 0)
-    mt_log_line(g->log, MT_LOG_BELIEF, now, "suspended",
+    mt_log_line(g->log, MT_LOG_STATE, now, "suspended",
                 "slept=%llu requests=%zu outcome=woke",
                 (unsigned long long)slept, g->relay->count);
 }
 
 /* When the next tick comes. */
 static void set_pace (mt_gateway_t *g) {
-  mt_ms_t now = mt_wake_clock_now(g->loop);
+  mt_ms_t now = mt_boot_clock_now(g->loop);
   if (g->relay->count > 0) g->busy = now;
   const mt_tick_state_t view = {.uptime = now - g->started,
                                 .idle_time = now - g->busy,
@@ -611,7 +611,7 @@
   g->loop = loop;
   g->settings = *settings;
   g->dialect = dialect;
-  g->started = mt_wake_clock_now(loop);
+  g->started = mt_boot_clock_now(loop);
   g->log = mt_log_writer_open(STDOUT_FILENO, settings->node,
                               settings->lines_per_s);
   g->relay = mt_relay_new(settings->domain, &settings->terms);
@@ -622,7 +622,8 @@
   g->callers =
       listen_on(g, &settings->callers, &caller_handler, reason, size);
   if (g->callers == NULL) return NULL;
-  mt_http_server_set_most(g->callers, (size_t)(CALLERS_PART * descriptors));
+  mt_http_server_set_max_connections(g->callers,
+                                     (size_t)(CALLERS_PART * descriptors));
   g->ready = listen_on(g, &settings->ready, &ready_handler, reason, size);
   if (g->ready == NULL) return NULL;
   g->metrics =
@@ -636,7 +637,7 @@
   g->tick.data = g;
   g->pace = MT_TICK_BUSY_MS;
   uv_timer_start(&g->tick, on_tick, MT_TICK_BUSY_MS, MT_TICK_BUSY_MS);
-  mt_log_line(g->log, MT_LOG_BELIEF, g->started, "start",
+  mt_log_line(g->log, MT_LOG_STATE, g->started, "start",
               "domain=%s callers=%s:%u ready=%s:%u metrics=%s:%u peers=%s:%u "
               "outcome=started",
               settings->domain, settings->callers.ip,
@@ -649,12 +650,12 @@
 
 void mt_gateway_stop (mt_gateway_t *g) {
   if (g->stopping != 0) return;
-  g->stopping = mt_wake_clock_now(g->loop);
+  g->stopping = mt_boot_clock_now(g->loop);
   mt_relay_event_t event = {.kind = MT_RELAY_STOP};
   event.u.stop_ms = g->settings.grace - LAST_MS;
   mt_gateway_step(g, &event);
   mt_http_server_drain(g->callers, true);
-  mt_log_line(g->log, MT_LOG_BELIEF, g->stopping, "stopping",
+  mt_log_line(g->log, MT_LOG_STATE, g->stopping, "stopping",
               "requests=%zu outcome=draining", g->relay->count);
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -18,7 +18,7 @@
 #include "log_writer.h"
 #include "mtset.h"
 #include "peer_message.h"
-#include "wake_clock.h"
+#include "boot_clock.h"
 
 typedef struct mt_gateway_t mt_gateway_t;
 
--- a/src/gateway/gateway_feeds.c
+++ b/src/gateway/gateway_feeds.c
@@ -15,11 +15,11 @@
 #define RESTORE_GRACE_MS 2500
 
 void mt_gateway_restored (mt_gateway_t *g) {
-  g->restored = mt_wake_clock_now(g->loop);
+  g->restored = mt_boot_clock_now(g->loop);
 }
 
 bool mt_gateway_in_restore_grace (const mt_gateway_t *g) {
-  mt_ms_t now = mt_wake_clock_now(g->loop);
+  mt_ms_t now = mt_boot_clock_now(g->loop);
   return g->restored != 0 && now < g->restored + RESTORE_GRACE_MS;
 }
 
@@ -136,24 +136,24 @@
   tell_version(g, catalog, rev);
   bool taken = mt_relay_declare(g->relay, catalog);
   mt_log_line(
-      g->log, MT_LOG_BELIEF, mt_wake_clock_now(g->loop), "configuration",
+      g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop), "configuration",
       "version=%lld routes=%zu workspaces=%zu outcome=%s", (long long)version,
       routes, workspaces, taken ? "in-force" : "older");
   if (version == g->relay->catalog->version &&
       !mt_gateway_in_restore_grace(g))
     mt_denials_prune(&g->relay->denials, rev);
-  if (taken) mt_http_server_limits(g->callers, &limits);
+  if (taken) mt_http_server_set_limits(g->callers, &limits);
 }
 
 void mt_gateway_unreadable (mt_gateway_t *g, const char *reason) {
-  mt_log_line(g->log, MT_LOG_BELIEF, mt_wake_clock_now(g->loop),
+  mt_log_line(g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop),
               "configuration", "outcome=unreadable why=\"%s\"", reason);
 }
 
 static void empty_domain (mt_gateway_t *g, const char *domain, bool on) {
-  if (!mt_relay_evacuate(g->relay, domain, on, mt_wake_clock_now(g->loop)))
+  if (!mt_relay_evacuate(g->relay, domain, on, mt_boot_clock_now(g->loop)))
     return;
-  mt_log_line(g->log, MT_LOG_BELIEF, mt_wake_clock_now(g->loop), "evacuation",
+  mt_log_line(g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop), "evacuation",
               "domain=%s outcome=%s", domain, on ? "begun" : "over");
 }
 
@@ -172,7 +172,7 @@
 
 static void log_engine (mt_gateway_t *g, const mt_engine_t *e,
                         const char *outcome) {
-  mt_gateway_log_engine(g->log, mt_wake_clock_now(g->loop), e, outcome);
+  mt_gateway_log_engine(g->log, mt_boot_clock_now(g->loop), e, outcome);
 }
 
 static void set_state (mt_gateway_t *g, mt_engine_t *e,
@@ -186,12 +186,12 @@
 void mt_gateway_engine_gone (void *ud, const mt_engine_t *e) {
   mt_gateway_t *g = ud;
   log_engine(g, e, mt_gateway_state_name(e->state));
-  mt_http_client_forget(g->engines, e->key);
+  mt_http_client_close_idle(g->engines, e->key);
 }
 
 static void engine_left (mt_gateway_t *g, mt_engine_t *e, mt_ms_t since) {
   bool told = e->unlisted_since != 0 || e->state == MT_ENGINE_GONE;
-  mt_relay_engine_left(g->relay, e, since, mt_wake_clock_now(g->loop));
+  mt_relay_engine_left(g->relay, e, since, mt_boot_clock_now(g->loop));
   if (!told && e->unlisted_since != 0) log_engine(g, e, "vanished");
 }
 
@@ -240,7 +240,7 @@
   }
   uint64_t told = g->relay->counters.drains_heard;
   mt_relay_engine_listed(g->relay, e, engine->cold,
-                         mt_wake_clock_now(g->loop));
+                         mt_boot_clock_now(g->loop));
   if (g->relay->counters.drains_heard != told)
     log_engine(g, e, "told-leaving-early");
   set_state(g, e, engine->draining ? MT_ENGINE_DRAINING : MT_ENGINE_READY,
@@ -296,13 +296,13 @@
   mt_change_t change = change_of_engine(name, engine, rev);
   if (mt_gateway_in_restore_grace(g) && is_redundant(g, &change)) return;
   if (mt_gateway_peers_changed(g->peers, &change))
-    take_engine(g, name, engine, rev, mt_wake_clock_now(g->loop));
+    take_engine(g, name, engine, rev, mt_boot_clock_now(g->loop));
 }
 
 /* A list no longer shows it: it went at some time since others know more. */
 static void engine_unlisted (mt_gateway_t *g, const char *name,
                              mt_revision_t rev) {
-  mt_ms_t now = mt_wake_clock_now(g->loop);
+  mt_ms_t now = mt_boot_clock_now(g->loop);
   mt_ms_t since = mt_gateway_peers_lacking(g->peers, MT_FEED_ENGINES);
   mt_change_t gone = mt_change_make(MT_CHANGE_ENGINE_GONE, name, rev);
   if (since == 0) since = now;
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -18,16 +18,16 @@
 
 const char *mt_gateway_probe_name (mt_http_probe_t how) {
   switch (how) {
-    case MT_HTTP_UP: return "reached";
+    case MT_HTTP_CONNECTED: return "reached";
     case MT_HTTP_REFUSED: return "refuses";
-    case MT_HTTP_LOST: return "unreachable";
+    case MT_HTTP_UNREACHABLE: return "unreachable";
   }
   return "";
 }
 
 void mt_gateway_log_engine (mt_log_writer_t *log, mt_ms_t now,
                             const mt_engine_t *e, const char *outcome) {
-  mt_log_line(log, MT_LOG_BELIEF, now, "engine",
+  mt_log_line(log, MT_LOG_STATE, now, "engine",
               "engine=%s address=%s:%u running=%d outcome=%s", e->name, e->ip,
               e->port, e->local.running, outcome);
 }
--- a/src/gateway/gateway_notices.c
+++ b/src/gateway/gateway_notices.c
@@ -30,7 +30,7 @@
   const mt_engine_notice_t notice = g->dialect->notice(status, headers);
   if (!notice.draining && notice.backoff == 0) return;
   uv_update_time(g->loop); /* in a long turn a backoff would end too early */
-  mt_ms_t now = mt_wake_clock_now(g->loop);
+  mt_ms_t now = mt_boot_clock_now(g->loop);
   const mt_engine_drain_t drain = {now, started_at, false};
   if (e == NULL || (started_at != 0 && started_at < e->started_at)) return;
   const mt_relay_counters_t before = g->relay->counters;
@@ -46,7 +46,7 @@
 bool mt_gateway_take_peer_drain (void *ud, const mt_peer_drain_t *told,
                                  uint32_t router) {
   mt_gateway_t *g = ud;
-  mt_ms_t now = mt_wake_clock_now(g->loop);
+  mt_ms_t now = mt_boot_clock_now(g->loop);
   const mt_engine_t *e = mt_engines_get(&g->relay->engines, told->engine);
   const mt_engine_notice_t notice = {.draining = true};
   const mt_engine_drain_t drain = {now - mt_min(told->age, now),
@@ -56,7 +56,7 @@
   take(g, told->engine, &notice, &drain);
   if (e == NULL || g->relay->counters.drains_heard == before) return false;
   inet_ntop(AF_INET, &router, text, sizeof text);
-  mt_log_line(g->log, MT_LOG_BELIEF, now, "engine",
+  mt_log_line(g->log, MT_LOG_STATE, now, "engine",
               "engine=%s age=%llu peer=%s outcome=told-leaving", e->name,
               (unsigned long long)told->age, text);
   return e->state == MT_ENGINE_READY;
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -45,7 +45,7 @@
                  const char *outcome) {
   char text[INET_ADDRSTRLEN];
   inet_ntop(AF_INET, &ip, text, sizeof text);
-  mt_log_line(peers->log, MT_LOG_BELIEF, mt_wake_clock_now(peers->loop),
+  mt_log_line(peers->log, MT_LOG_STATE, mt_boot_clock_now(peers->loop),
               "peer", "peer=%s routers=%d outcome=%s", text,
               peers->members.live, outcome);
 }
@@ -63,7 +63,7 @@
   inet_ntop(AF_INET, &ip, text, sizeof text);
   peers->news[outcome]++;
   mt_log_line(
-      peers->log, MT_LOG_BELIEF, mt_wake_clock_now(peers->loop), "news",
+      peers->log, MT_LOG_STATE, mt_boot_clock_now(peers->loop), "news",
       "peer=%s feed=%s base=%s reach=%s changes=%zu told=%s taken=%s "
       "newest=%s outcome=%s",
       text, names[kind], mt_revision_text(span->base, base),
@@ -155,14 +155,14 @@
                           const char *why) {
   mt_gateway_peers_t *peers = ud;
   const mt_relay_t *relay = peers->relay;
-  mt_ms_t now = mt_wake_clock_now(peers->loop);
+  mt_ms_t now = mt_boot_clock_now(peers->loop);
   mt_suspect_status_t standing =
       mt_suspects_status(&relay->suspects, s->digest, now);
   uint64_t last = s->listed > 0 ? s->list[s->listed - 1].engine : 0;
   const mt_engine_t *e = mt_engines_get(&relay->engines, last);
   char text[INET_ADDRSTRLEN];
   inet_ntop(AF_INET, &router, text, sizeof text);
-  mt_log_line(peers->log, MT_LOG_BELIEF, now, "suspect",
+  mt_log_line(peers->log, MT_LOG_STATE, now, "suspect",
               "digest=%016llx state=%s ends=%d alone=%d last=%s left=%llu "
               "peer=%s outcome=%s",
               (unsigned long long)s->digest,
@@ -179,7 +179,7 @@
 
 void mt_gateway_peers_say (mt_gateway_peers_t *peers,
                            const mt_suspect_message_t *word) {
-  peers->members.now = mt_wake_clock_now(peers->loop);
+  peers->members.now = mt_boot_clock_now(peers->loop);
   mt_suspect_exchange_send(&peers->suspects, word);
 }
 
@@ -206,27 +206,27 @@
   const mt_feed_state_t *feed = &peers->feeds.feeds[kind].state;
   mt_peer_feed_t known = {feed->newest, feed->at, feed->told, UINT32_MAX};
   if (feed->confirmed != 0)
-    known.age = mt_wake_clock_now(peers->loop) - feed->confirmed;
+    known.age = mt_boot_clock_now(peers->loop) - feed->confirmed;
   return known;
 }
 
 bool mt_gateway_peers_changed (mt_gateway_peers_t *peers,
                                const mt_change_t *change) {
-  peers->members.now = mt_wake_clock_now(peers->loop);
+  peers->members.now = mt_boot_clock_now(peers->loop);
   return mt_feed_exchange_add_change(&peers->feeds, change);
 }
 
 void mt_gateway_peers_set_feed (mt_gateway_peers_t *peers,
                                 mt_feed_kind_t kind, mt_revision_t newest,
                                 mt_revision_t at, mt_feed_reading_t reading) {
-  peers->members.now = mt_wake_clock_now(peers->loop);
+  peers->members.now = mt_boot_clock_now(peers->loop);
   mt_feed_exchange_resize_log(&peers->feeds, peers->relay->engines.count);
   mt_feed_exchange_source_read(&peers->feeds, kind, newest, at, reading);
 }
 
 void mt_gateway_peers_listed (mt_gateway_peers_t *peers, const mt_map_t *seen,
                               mt_revision_t rev) {
-  peers->members.now = mt_wake_clock_now(peers->loop);
+  peers->members.now = mt_boot_clock_now(peers->loop);
   mt_feed_exchange_remove_unlisted(&peers->feeds, seen, rev);
 }
 
@@ -295,7 +295,7 @@
   m->engines[m->engines_count++] = (mt_peer_engine_t){
       .key = e->key, .load = e->local, .tokens = e->tokens_processed};
   e->load_dirty = false;
-  e->told = mt_wake_clock_now(peers->loop);
+  e->told = mt_boot_clock_now(peers->loop);
 }
 
 /* Tells the owner of the home where parts were read instead. */
@@ -308,7 +308,7 @@
   uint64_t part = mt_kv_cache_home_segment(r->parts, r->parts_count);
   if (owner == peers->members.own_ip) {
     mt_prefix_holders_set(&peers->relay->holders, part, r->engine->key,
-                          mt_wake_clock_now(peers->loop));
+                          mt_boot_clock_now(peers->loop));
     return;
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_PREFIX_HOLDER);
@@ -320,7 +320,7 @@
 static void on_holds (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
   if (m->engines_count == 0 || m->parts_count == 0) return;
   mt_prefix_holders_set(&peers->relay->holders, m->parts[0].id,
-                        m->engines[0].key, mt_wake_clock_now(peers->loop));
+                        m->engines[0].key, mt_boot_clock_now(peers->loop));
 }
 
 void mt_gateway_peers_placed (mt_gateway_peers_t *peers,
@@ -379,7 +379,7 @@
   peers->out.request_number = r->number;
   peers->out.parts_count = r->parts_count;
   memcpy(peers->out.parts, r->parts, r->parts_count * sizeof *r->parts);
-  if (peer->asked == 0) peer->asked = mt_wake_clock_now(peers->loop);
+  if (peer->asked == 0) peer->asked = mt_boot_clock_now(peers->loop);
   send_out(peers, owner);
 }
 
@@ -417,7 +417,7 @@
                     const mt_peer_message_t *ask) {
   mt_peer_message_t *m = begin(peers, MT_PEER_QUOTE);
   peers->relay->now =
-      mt_max(peers->relay->now, mt_wake_clock_now(peers->loop));
+      mt_max(peers->relay->now, mt_boot_clock_now(peers->loop));
   m->request_number = ask->request_number;
   for (size_t i = 0; i < ask->engines_count; i++) {
     uint64_t key = ask->engines[i].key;
@@ -445,7 +445,7 @@
 
 static void on_load (mt_gateway_peers_t *peers, uint32_t ip,
                      const mt_peer_message_t *m) {
-  mt_ms_t now = mt_wake_clock_now(peers->loop);
+  mt_ms_t now = mt_boot_clock_now(peers->loop);
   peers->relay->now = mt_max(peers->relay->now, now);
   for (size_t i = 0; i < m->engines_count; i++) {
     const mt_peer_engine_t *e = &m->engines[i];
@@ -531,7 +531,7 @@
                            const char *bytes, size_t n) {
   mt_peer_message_t *m = &peers->in;
   if (!mt_peer_message_unpack(m, bytes, n)) return;
-  peers->members.now = mt_wake_clock_now(peers->loop);
+  peers->members.now = mt_boot_clock_now(peers->loop);
   mt_peer_t *peer = mt_membership_add(&peers->members, ip);
   if (peer == NULL) return;
   bool is_new = needs_greeting(&peers->members, peer, m->boot);
@@ -577,14 +577,14 @@
   bool leads = mt_gateway_peers_leads(peers);
   if (leads == peers->led) return;
   peers->led = leads;
-  mt_log_line(peers->log, MT_LOG_BELIEF, mt_wake_clock_now(peers->loop),
+  mt_log_line(peers->log, MT_LOG_STATE, mt_boot_clock_now(peers->loop),
               "watcher", "source=%d routers=%d outcome=%s",
               peers->members.own_reaches_source, peers->members.live,
               leads ? "begun" : "ended");
 }
 
 int mt_gateway_peers_tick (mt_gateway_peers_t *peers) {
-  mt_ms_t now = mt_wake_clock_now(peers->loop);
+  mt_ms_t now = mt_boot_clock_now(peers->loop);
   const mt_load_reporter_callbacks_t calls = {find_owner, tell_loads, peers};
   mt_membership_update(&peers->members, now);
   mt_load_reporter_tick(&peers->teller, &peers->relay->engines, now, &calls);
@@ -614,7 +614,7 @@
   members->own_ip = addr.sin_addr.s_addr;
   members->own_domain = mtV_id(settings->domain, strlen(settings->domain));
   members->own_reaches_source = true;
-  mt_membership_update(members, mt_wake_clock_now(loop));
+  mt_membership_update(members, mt_boot_clock_now(loop));
   const mt_share_exchange_callbacks_t round = {begin_round, send_round,
                                                peers};
   mt_share_exchange_open(&peers->exchange, members, &relay->shares, &round);
--- a/src/mtcall.c
+++ b/src/mtcall.c
@@ -76,8 +76,8 @@
       mt_bytes_number(mt_http_headers_find(headers, "content-length"));
   mt_bytes_t outcome = mt_http_headers_find(headers, "x-outcome");
   if (outcome.n > 0)
-    c->outcome =
-        mt_bytes_same(outcome, "not-run") ? MT_SAID_NOTRUN : MT_SAID_UNKNOWN;
+    c->outcome = mt_bytes_equal_nocase(outcome, "not-run") ? MT_SAID_NOTRUN
+                                                           : MT_SAID_UNKNOWN;
   deliver_more(c, &ev);
   return true;
 }
--- a/src/mtcli.c
+++ b/src/mtcli.c
@@ -605,14 +605,14 @@
 
 /* Settings come from the file that is named, or from the environment. */
 static int cmdgateway (int argc, char **argv) {
-  struct arg_file *file = arg_file0(NULL, "settings", "FILE",
-                                    "settings; else $" MT_PLATFORM_VARIABLE);
+  struct arg_file *file = arg_file0(
+      NULL, "settings", "FILE", "settings; else $" MT_PLATFORM_SETTINGS_ENV);
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(10);
   void *table[] = {file, help, end};
   int code = parse("gateway", "Runs a gateway until it is told to stop.",
                    argc, argv, table, help, end);
-  const char *name = getenv(MT_PLATFORM_VARIABLE);
+  const char *name = getenv(MT_PLATFORM_SETTINGS_ENV);
   if (code == DONE && file->count > 0) name = file->filename[0];
   if (code == DONE && name == NULL) {
     fprintf(stderr, PROGRAM ": name the settings\n");
--- a/src/mtobject.h
+++ b/src/mtobject.h
@@ -15,7 +15,7 @@
 typedef uint32_t mt_id_t;
 
 /* Milliseconds of the monotonic clock, as the loop reports it; of a gateway,
-   with what its machine slept (wake_clock.h). */
+   with what its machine slept (boot_clock.h). */
 typedef uint64_t mt_ms_t;
 
 /* Service in units: tokens times MT_UNIT, divided by the share. */
--- a/src/mtweb.c
+++ b/src/mtweb.c
@@ -218,7 +218,7 @@
     return NULL;
   }
   web->port = mt_http_server_port(web->server);
-  mt_http_server_limits(web->server, &limits);
+  mt_http_server_set_limits(web->server, &limits);
   uv_timer_init(loop, &web->tick);
   web->tick.data = web;
   uv_timer_start(&web->tick, on_tick, TICK_MS, TICK_MS);
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,5 +1,5 @@
 /*
-** http_client.c - HTTP/1.1 calls with kept connections, on http-parser
+** http_client.c - HTTP/1.1 client with keep-alive, on libuv and http-parser
 */
 #include <http_parser.h>
 #include <netinet/tcp.h>
@@ -9,32 +9,35 @@
 
 #include "http_client.h"
 #include "mtmem.h"
-#include "wake_clock.h"
+#include "boot_clock.h"
 
 #define READ_BYTES 65536
-#define SURPLUS_MAX 3       /* answers passed over on one call */
-#define IDLE_MARGIN_MS 1000 /* kept less long than the server says */
+#define SKIPPED_MAX 3       /* responses skipped before one call fails */
+#define IDLE_MARGIN_MS 1000 /* below the keep-alive timeout of the server */
 
-/* A connection; it serves one call at a time and is the call. */
+/* A connection and the call on it: there is at most one at a time. */
 struct mt_http_call_t {
   uv_tcp_t tcp;
   uv_connect_t connect;
   mt_http_client_t *client;
-  mt_http_call_t *prev, *next; /* all */
-  mt_http_call_t *idle_next;   /* resting ones of the endpoint */
+  mt_http_call_t *prev, *next; /* all connections */
+  mt_http_call_t *idle_next;   /* idle ones of the endpoint */
   uint64_t key;
   void *ud;
-  bool busy, connected, closing, keep, skipping, closed_framing, paused;
-  bool probing;   /* it is being connected for no call */
-  bool answered;  /* the head of the call's answer has come */
-  mt_ms_t linger; /* the call has ended; the connection ends then; 0: no */
-  bool refused;   /* the other side said that nobody listens */
-  int surplus;
-  size_t writing;
-  char *request; /* until the connection is up */
+  /* `keep`: reusable after the response; `skipping`: the response is of an
+     earlier call; `until_close`: it ends with the connection. */
+  bool busy, connected, closing, keep, skipping, until_close, paused;
+  bool probing;       /* connecting without a call */
+  bool head_received; /* the head of the call's response has come */
+  mt_ms_t linger;     /* the call has ended, and the connection is closed
+                         then; 0: not lingering */
+  bool refused;       /* the connection was refused */
+  int skipped;        /* responses that were skipped */
+  size_t writing;     /* unfinished writes */
+  char *request;      /* until the connection is up */
   size_t request_size;
-  mt_ms_t since;      /* connecting or resting since */
-  mt_ms_t idle_limit; /* how long it may rest */
+  mt_ms_t since;      /* connecting or idle since; 0: connecting failed */
+  mt_ms_t idle_limit; /* how long it may stay idle */
   http_parser parser;
   mt_http_headers_t headers;
 };
@@ -44,7 +47,7 @@
   mt_http_client_options_t options;
   mt_http_call_handler_t handler;
   mt_http_call_t *all;
-  mt_map_t idle; /* endpoint -> its last used resting connection */
+  mt_map_t idle; /* endpoint -> its most recently used idle connection */
   size_t count;
   mt_ms_t ticked; /* the last tick */
   uint64_t opened;
@@ -66,7 +69,7 @@
   free(c);
 }
 
-static void leave_idle (mt_http_call_t *c) {
+static void remove_idle (mt_http_call_t *c) {
   mt_http_call_t *first = mtV_get(&c->client->idle, c->key);
   if (first == c) {
     if (c->idle_next)
@@ -81,7 +84,7 @@
 
 static void close_connection (mt_http_call_t *c) {
   if (c->closing) return;
-  if (!c->busy) leave_idle(c);
+  if (!c->busy) remove_idle(c);
   c->closing = true;
   if (c->prev)
     c->prev->next = c->next;
@@ -97,23 +100,23 @@
   bool probing = c->probing && !c->closing;
   close_connection(c);
   if (busy) c->client->handler.failed(c->ud, c, why);
-  mt_http_probe_t how = c->refused ? MT_HTTP_REFUSED : MT_HTTP_LOST;
+  mt_http_probe_t how = c->refused ? MT_HTTP_REFUSED : MT_HTTP_UNREACHABLE;
   if (probing) c->client->handler.probed(c->ud, c->key, how);
 }
 
-static void rest (mt_http_call_t *c) {
+static void add_idle (mt_http_call_t *c) {
   c->busy = false;
   c->ud = NULL;
-  c->since = mt_wake_clock_now(c->client->loop);
+  c->since = mt_boot_clock_now(c->client->loop);
   c->idle_next = mtV_get(&c->client->idle, c->key);
   mtV_put(&c->client->idle, c->key, c);
 }
 
-/* The answer is whole: keeps the connection if nothing speaks against it. */
+/* The response is complete: keeps the connection if it can be reused. */
 static void finish (mt_http_call_t *c) {
   void *ud = c->ud;
   if (c->keep && c->writing == 0 && !c->paused) {
-    rest(c);
+    add_idle(c);
   } else {
     close_connection(c);
   }
@@ -133,26 +136,27 @@
 
 static int on_name (http_parser *parser, const char *p, size_t n) {
   mt_http_call_t *c = parser->data;
-  mt_http_headers_name(&c->headers, p, n);
+  mt_http_headers_append_name(&c->headers, p, n);
   return 0;
 }
 
 static int on_value (http_parser *parser, const char *p, size_t n) {
   mt_http_call_t *c = parser->data;
-  mt_http_headers_value(&c->headers, p, n);
+  mt_http_headers_append_value(&c->headers, p, n);
   return 0;
 }
 
-/* How long the server keeps a resting connection, less a margin. */
+/* How long the server keeps an idle connection, less a margin. */
 static mt_ms_t idle_limit (const mt_http_call_t *c) {
   mt_ms_t limit = c->client->options.idle_ms;
   mt_bytes_t text = mt_http_headers_find(&c->headers, "keep-alive");
   static const char key[] = "timeout=";
   for (size_t i = 0; i + sizeof key - 1 < text.n; i++) {
     if (memcmp(text.p + i, key, sizeof key - 1) != 0) continue;
-    mt_ms_t told = 1000 * (mt_ms_t)atoi(text.p + i + sizeof key - 1);
-    told = told > IDLE_MARGIN_MS ? told - IDLE_MARGIN_MS : told / 2;
-    limit = mt_min(limit, told);
+    mt_ms_t timeout = 1000 * (mt_ms_t)atoi(text.p + i + sizeof key - 1);
+    timeout =
+        timeout > IDLE_MARGIN_MS ? timeout - IDLE_MARGIN_MS : timeout / 2;
+    limit = mt_min(limit, timeout);
   }
   return limit;
 }
@@ -161,13 +165,13 @@
   mt_http_call_t *c = parser->data;
   if (parser->status_code < 200) return 0;
   c->idle_limit = idle_limit(c);
-  c->closed_framing = !(parser->flags & (F_CHUNKED | F_CONTENTLENGTH));
+  c->until_close = !(parser->flags & (F_CHUNKED | F_CONTENTLENGTH));
   c->skipping =
       !c->client->handler.head(c->ud, c, parser->status_code, &c->headers);
   if (c->closing) return 1;
-  c->answered = !c->skipping;
-  if (c->answered && c->linger != 0) return -1;
-  if (c->skipping && ++c->surplus > SURPLUS_MAX) return -1;
+  c->head_received = !c->skipping;
+  if (c->head_received && c->linger != 0) return -1;
+  if (c->skipping && ++c->skipped > SKIPPED_MAX) return -1;
   return 0;
 }
 
@@ -194,7 +198,8 @@
     .on_body = on_body,
     .on_message_complete = on_complete};
 
-/* Takes in bytes of the answer; bytes beyond its end spoil the connection. */
+/* Parses bytes of the response. A connection with bytes beyond its end is not
+   reused. */
 static void parse (mt_http_call_t *c, const char *p, size_t n) {
   size_t used = http_parser_execute(&c->parser, &parser_settings, p, n);
   if (c->closing) return;
@@ -205,7 +210,7 @@
       if (used < n) c->keep = false;
       finish(c);
       return;
-    default: fail(c, MT_HTTP_GARBLED); return;
+    default: fail(c, MT_HTTP_MALFORMED); return;
   }
 }
 
@@ -218,9 +223,9 @@
   *buf = uv_buf_init(c->client->input, READ_BYTES);
 }
 
-/* The server closed its side: that ends an answer that has no other end. */
+/* The server closed its side: this ends a response without a length. */
 static void on_end_of_input (mt_http_call_t *c) {
-  if (c->busy && c->closed_framing && !c->skipping) {
+  if (c->busy && c->until_close && !c->skipping) {
     http_parser_execute(&c->parser, &parser_settings, "", 0);
     if (c->closing) return;
     if (HTTP_PARSER_ERRNO(&c->parser) == HPE_PAUSED) {
@@ -240,7 +245,7 @@
   else if (n < 0)
     fail(c, MT_HTTP_CLOSED);
   else if (!c->busy)
-    close_connection(c); /* nothing was asked */
+    close_connection(c); /* data without a request */
   else
     parse(c, buf->base, (size_t)n);
 }
@@ -280,22 +285,22 @@
     write_later(c, body.p + (done - head.n), head.n + body.n - done);
 }
 
-static void begin_answer (mt_http_call_t *c) {
+static void begin_response (mt_http_call_t *c) {
   http_parser_init(&c->parser, HTTP_RESPONSE);
   c->parser.data = c;
-  c->surplus = 0;
+  c->skipped = 0;
   c->skipping = false;
-  c->closed_framing = false;
+  c->until_close = false;
   c->keep = false;
-  c->answered = false;
+  c->head_received = false;
 }
 
 static void end_probe (mt_http_call_t *c) {
   void *ud = c->ud;
   c->probing = false;
   c->idle_limit = c->client->options.idle_ms;
-  rest(c);
-  c->client->handler.probed(ud, c->key, MT_HTTP_UP);
+  add_idle(c);
+  c->client->handler.probed(ud, c->key, MT_HTTP_CONNECTED);
 }
 
 static void on_connected (uv_connect_t *req, int status) {
@@ -323,19 +328,20 @@
 
 /* {== Calls ============================================================ */
 
-/* The one used last: it is the least likely to be closed just now. */
+/* The idle connection used last: the one least likely to be closed by now. */
 static mt_http_call_t *take_idle (mt_http_client_t *client, uint64_t key,
-                                  mt_ms_t rested_ms) {
-  mt_ms_t now = mt_wake_clock_now(client->loop);
+                                  mt_ms_t max_idle_ms) {
+  mt_ms_t now = mt_boot_clock_now(client->loop);
   mt_http_call_t *c = mtV_get(&client->idle, key);
-  if (c == NULL || now - c->since >= mt_min(c->idle_limit, rested_ms))
+  if (c == NULL || now - c->since >= mt_min(c->idle_limit, max_idle_ms))
     return NULL;
-  leave_idle(c);
+  remove_idle(c);
   return c;
 }
 
-/* Sockets' own options: small writes go out at once, lost peers end it. */
-static void tune (mt_http_call_t *c) {
+/* Sends small writes at once; ends a connection whose data stays
+   unacknowledged. */
+static void set_socket_options (mt_http_call_t *c) {
   uv_os_fd_t fd;
   int timeout = (int)c->client->options.user_timeout;
   uv_tcp_nodelay(&c->tcp, 1);
@@ -343,7 +349,7 @@
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof timeout);
 }
 
-/* A connect that fails at once is reported by the next tick. */
+/* A connect that fails immediately is reported by the next tick. */
 static mt_http_call_t *connect_to (mt_http_client_t *client,
                                    const mt_http_endpoint_t *endpoint) {
   struct sockaddr_in addr;
@@ -355,20 +361,20 @@
   client->all = c;
   client->count++;
   client->opened++;
-  c->since = mt_wake_clock_now(client->loop);
+  c->since = mt_boot_clock_now(client->loop);
   uv_tcp_init(client->loop, &c->tcp);
   c->tcp.data = c;
   c->connect.data = c;
   if (uv_ip4_addr(endpoint->ip, endpoint->port, &addr) == 0 &&
       uv_tcp_connect(&c->connect, &c->tcp, (const struct sockaddr *)&addr,
                      on_connected) == 0)
-    tune(c);
+    set_socket_options(c);
   else
     c->since = 0;
   return c;
 }
 
-/* Closes the connection that has rested longest, to any endpoint. */
+/* Closes the connection that has been idle longest, of any endpoint. */
 static void close_oldest_idle (mt_http_client_t *client) {
   mt_http_call_t *oldest = NULL;
   for (mt_http_call_t *c = client->all; c != NULL; c = c->next) {
@@ -383,7 +389,7 @@
   if (most > 0 && client->count >= most) close_oldest_idle(client);
 }
 
-static void keep_request (mt_http_call_t *c, mt_bytes_t head,
+static void save_request (mt_http_call_t *c, mt_bytes_t head,
                           mt_bytes_t body) {
   c->request_size = head.n + body.n;
   c->request = malloc(c->request_size + 1);
@@ -395,8 +401,8 @@
 mt_http_call_t *mt_http_client_call (mt_http_client_t *client,
                                      const mt_http_endpoint_t *endpoint,
                                      mt_bytes_t head, mt_bytes_t body,
-                                     mt_ms_t rested_ms, void *ud) {
-  mt_http_call_t *c = take_idle(client, endpoint->key, rested_ms);
+                                     mt_ms_t max_idle_ms, void *ud) {
+  mt_http_call_t *c = take_idle(client, endpoint->key, max_idle_ms);
   bool kept = c != NULL;
   if (!kept) {
     make_room(client);
@@ -404,11 +410,11 @@
   }
   c->busy = true;
   c->ud = ud;
-  begin_answer(c);
+  begin_response(c);
   if (kept)
     send_request(c, head, body);
   else
-    keep_request(c, head, body);
+    save_request(c, head, body);
   return c;
 }
 
@@ -425,10 +431,10 @@
 }
 
 bool mt_http_call_linger (mt_http_call_t *c, mt_ms_t ms) {
-  if (c->closing || !c->connected || c->writing > 0 || c->answered)
+  if (c->closing || !c->connected || c->writing > 0 || c->head_received)
     return false;
   mt_http_call_pause(c, false);
-  c->linger = mt_wake_clock_now(c->client->loop) + ms;
+  c->linger = mt_boot_clock_now(c->client->loop) + ms;
   return true;
 }
 
@@ -437,7 +443,7 @@
 }
 
 bool mt_http_call_is_framed (const mt_http_call_t *c) {
-  return !c->closed_framing;
+  return !c->until_close;
 }
 
 void mt_http_call_pause (mt_http_call_t *c, bool pause) {
@@ -463,7 +469,7 @@
   return client;
 }
 
-/* Connections free themselves in the loop's next turns. */
+/* Connections are freed in the loop's next iterations. */
 void mt_http_client_close (mt_http_client_t *client) {
   while (client->all != NULL) {
     if (client->all->linger != 0)
@@ -475,14 +481,14 @@
   free(client);
 }
 
-void mt_http_client_forget (mt_http_client_t *client, uint64_t key) {
+void mt_http_client_close_idle (mt_http_client_t *client, uint64_t key) {
   mt_http_call_t *c;
   while ((c = mtV_get(&client->idle, key)) != NULL) close_connection(c);
 }
 
 void mt_http_client_tick (mt_http_client_t *client) {
-  mt_ms_t now = mt_wake_clock_now(client->loop);
-  mt_ms_t seen = client->ticked; /* what came up to then has been taken */
+  mt_ms_t now = mt_boot_clock_now(client->loop);
+  mt_ms_t seen = client->ticked; /* events up to then were processed */
   mt_http_call_t *next;
   for (mt_http_call_t *c = client->all; c != NULL; c = next) {
     next = c->next;
--- a/src/net/http_headers.c
+++ b/src/net/http_headers.c
@@ -10,7 +10,7 @@
 
 #define NUMBER_DIGITS_MAX 15
 
-static const char *const hop_names[] = {
+static const char *const hop_by_hop_names[] = {
     "connection", "keep-alive", "proxy-connection", "transfer-encoding",
     "te",         "trailer",    "upgrade",          "content-length",
     "expect"};
@@ -52,8 +52,8 @@
   *headers = (mt_http_headers_t){0};
 }
 
-void mt_http_headers_name (mt_http_headers_t *headers, const char *p,
-                           size_t n) {
+void mt_http_headers_append_name (mt_http_headers_t *headers, const char *p,
+                                  size_t n) {
   if (headers->count == 0 || headers->in_value) {
     headers->used += headers->count > 0; /* keeps the terminating zero */
     open_field(headers);
@@ -62,8 +62,8 @@
   last(headers)->name_size += (uint32_t)n;
 }
 
-void mt_http_headers_value (mt_http_headers_t *headers, const char *p,
-                            size_t n) {
+void mt_http_headers_append_value (mt_http_headers_t *headers, const char *p,
+                                   size_t n) {
   if (headers->count == 0) return;
   mt_http_field_t *f = last(headers);
   if (!headers->in_value) {
@@ -88,7 +88,7 @@
   return (mt_bytes_t){headers->text + f->value, f->value_size};
 }
 
-bool mt_bytes_same (mt_bytes_t a, const char *b) {
+bool mt_bytes_equal_nocase (mt_bytes_t a, const char *b) {
   return strlen(b) == a.n && strncasecmp(a.p, b, a.n) == 0;
 }
 
@@ -97,14 +97,14 @@
   size_t size = strlen(name);
   for (size_t i = 0; i < headers->count; i++) {
     if (headers->fields[i].name_size != size) continue;
-    if (mt_bytes_same(mt_http_headers_name_at(headers, i), name))
+    if (mt_bytes_equal_nocase(mt_http_headers_name_at(headers, i), name))
       return mt_http_headers_value_at(headers, i);
   }
   return (mt_bytes_t){"", 0};
 }
 
-/* True when a comma-separated list holds this token. */
-static bool list_holds (mt_bytes_t list, mt_bytes_t token) {
+/* True when a comma-separated list has this token, in any case. */
+static bool list_contains (mt_bytes_t list, mt_bytes_t token) {
   const char *p = list.p, *end = list.p + list.n;
   while (p < end) {
     while (p < end && (*p == ',' || *p == ' ')) p++;
@@ -117,11 +117,12 @@
   return false;
 }
 
-bool mt_http_headers_is_hop (const mt_http_headers_t *headers, size_t index) {
+bool mt_http_headers_is_hop_by_hop (const mt_http_headers_t *headers,
+                                    size_t index) {
   mt_bytes_t name = mt_http_headers_name_at(headers, index);
-  for (size_t i = 0; i < mt_countof(hop_names); i++)
-    if (mt_bytes_same(name, hop_names[i])) return true;
-  return list_holds(mt_http_headers_find(headers, "connection"), name);
+  for (size_t i = 0; i < mt_countof(hop_by_hop_names); i++)
+    if (mt_bytes_equal_nocase(name, hop_by_hop_names[i])) return true;
+  return list_contains(mt_http_headers_find(headers, "connection"), name);
 }
 
 int64_t mt_bytes_number (mt_bytes_t text) {
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -6,7 +6,8 @@
 
 #include "mtobject.h"
 
-/* One field; texts are offsets into the list's buffer, zero-terminated. */
+/* One field: offsets and sizes of zero-terminated strings in the list's
+   buffer. */
 typedef struct mt_http_field_t {
   uint32_t name, name_size;
   uint32_t value, value_size;
@@ -18,20 +19,20 @@
   size_t used, text_cap;
   mt_http_field_t *fields;
   size_t count, fields_cap;
-  bool in_value; /* the parser's last piece belonged to a value */
+  bool in_value; /* the last piece was of a value, not of a name */
 } mt_http_headers_t;
 
 /* Empties the list and keeps its memory. */
 void mt_http_headers_reset (mt_http_headers_t *headers);
 void mt_http_headers_free (mt_http_headers_t *headers);
 
-/* Take a piece of a name or value, as an incremental parser gives them. */
-void mt_http_headers_name (mt_http_headers_t *headers, const char *p,
-                           size_t n);
-void mt_http_headers_value (mt_http_headers_t *headers, const char *p,
-                            size_t n);
+/* Append a piece of a name or value, as an incremental parser reports it. */
+void mt_http_headers_append_name (mt_http_headers_t *headers, const char *p,
+                                  size_t n);
+void mt_http_headers_append_value (mt_http_headers_t *headers, const char *p,
+                                   size_t n);
 
-/* The value of the first field of that name, in any case; n 0: none. */
+/* The value of the first field with this name, in any case; n 0: none. */
 mt_bytes_t mt_http_headers_find (const mt_http_headers_t *headers,
                                  const char *name);
 
@@ -42,15 +43,17 @@
                                      size_t index);
 
 /*
-** True for a field that concerns one connection only and never travels on:
-** the fixed ones and those that the message's Connection field names.
+** True for a hop-by-hop field, which is not forwarded: the fixed ones and
+** those named by the message's Connection field.
 */
-bool mt_http_headers_is_hop (const mt_http_headers_t *headers, size_t index);
+bool mt_http_headers_is_hop_by_hop (const mt_http_headers_t *headers,
+                                    size_t index);
 
-/* True when both are the same text, whatever the case. */
-bool mt_bytes_same (mt_bytes_t a, const char *b);
+/* True when both are the same text, ignoring case. */
+bool mt_bytes_equal_nocase (mt_bytes_t a, const char *b);
 
-/* A number of milliseconds or another whole number; -1 when it is none. */
+/* A whole number in decimal digits; -1 if the text is not one or has more
+   than 15 digits. */
 int64_t mt_bytes_number (mt_bytes_t text);
 
 #endif
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,5 +1,5 @@
 /*
-** http_server.c - an HTTP/1.1 listener, on http-parser over libuv
+** http_server.c - an HTTP/1.1 server on libuv and http-parser
 */
 #include <errno.h>
 #include <http_parser.h>
@@ -12,40 +12,41 @@
 
 #include "http_server.h"
 #include "mtmem.h"
-#include "wake_clock.h"
+#include "boot_clock.h"
 
-#define READ_BYTES 65536      /* one read; shared by all connections */
-#define AHEAD_MAX (64u << 10) /* bytes kept that were sent ahead */
-#define BACKLOG 511
-#define USER_TIMEOUT_MS 10000 /* unacknowledged bytes end a connection */
-#define TARGET_MAX 8192       /* bytes of a request's target */
+#define READ_BYTES 65536 /* of a read buffer that all connections share */
+#define PIPELINED_MAX_BYTES (64u << 10) /* beyond: reading stops */
+#define LISTEN_BACKLOG 511
+#define USER_TIMEOUT_MS 10000 /* for unacknowledged data */
+#define TARGET_MAX_BYTES 8192 /* of a request target */
 
 typedef enum mt_exchange_state_t {
-  STATE_IDLE,     /* no byte of a request yet */
-  STATE_READING,  /* some bytes of one */
-  STATE_WAITING,  /* handed over, no answer yet */
-  STATE_ANSWERING /* the head of the answer is out */
+  STATE_IDLE,      /* waiting for a request */
+  STATE_READING,   /* part of a request has arrived */
+  STATE_HANDLING,  /* the handler has it, no response yet */
+  STATE_RESPONDING /* the head of the response is written */
 } mt_exchange_state_t;
 
-/* Bytes that grow and are cut from the front. */
+/* A growable byte array. */
 typedef struct buffer_t {
   char *p;
   size_t n, cap;
 } buffer_t;
 
+/* A connection and the exchange on it: there is at most one at a time. */
 struct mt_http_exchange_t {
   uv_tcp_t tcp;
   mt_http_server_t *server;
   mt_http_exchange_t *prev, *next;             /* all connections */
-  mt_http_exchange_t *dirty_prev, *dirty_next; /* those with bytes to write */
-  bool dirty, closing, close_after, chunked, headless, keep_alive, too_large;
-  bool told; /* the handler has it and has not ended it */
+  mt_http_exchange_t *dirty_prev, *dirty_next; /* ones with data to write */
+  bool dirty, closing, close_after, chunked, no_body, keep_alive, too_large;
+  bool handed_over; /* the handler has the request and has not completed it */
   mt_exchange_state_t state;
   http_parser parser;
   mt_http_headers_t headers;
-  buffer_t target, body, ahead, out;
-  size_t writing; /* bytes handed to libuv and not yet written */
-  mt_ms_t since;  /* of the state IDLE or READING */
+  buffer_t target, body, pipelined, out;
+  size_t writing; /* bytes passed to libuv and not yet written */
+  mt_ms_t since;  /* when it became IDLE or READING */
   void *user;
 };
 
@@ -57,8 +58,8 @@
   void *ud;
   mt_http_server_limits_t limits;
   mt_http_exchange_t *all, *dirty;
-  size_t count, most; /* connections; most: 0 for no bound */
-  int spare;          /* a descriptor to give up when there is no other */
+  size_t count, max_connections; /* connections; maximum 0: no limit */
+  int spare_fd; /* closed to free a descriptor when none is left; -1: none */
   bool draining;
   char input[READ_BYTES];
 };
@@ -126,12 +127,12 @@
   mt_http_headers_free(&x->headers);
   buffer_free(&x->target);
   buffer_free(&x->body);
-  buffer_free(&x->ahead);
+  buffer_free(&x->pipelined);
   buffer_free(&x->out);
   free(x);
 }
 
-/* Ends a connection; the handler hears of it when it holds a request. */
+/* Closes a connection; calls `gone` if the handler has a request of it. */
 static void close_connection (mt_http_exchange_t *x) {
   if (x->closing) return;
   mt_http_server_t *server = x->server;
@@ -143,13 +144,13 @@
     server->all = x->next;
   if (x->next) x->next->prev = x->prev;
   server->count--;
-  bool told = x->told;
-  x->told = false;
-  if (told) server->handler.gone(server->ud, x);
+  bool handed_over = x->handed_over;
+  x->handed_over = false;
+  if (handed_over) server->handler.gone(server->ud, x);
   uv_close((uv_handle_t *)&x->tcp, on_closed);
 }
 
-static void settle (mt_http_exchange_t *x);
+static void finish_exchange (mt_http_exchange_t *x);
 
 static void on_written (uv_write_t *req, int status) {
   pending_write_t *w = (pending_write_t *)req;
@@ -162,8 +163,8 @@
     return;
   }
   if (x->writing > 0) return;
-  if (x->told) x->server->handler.drained(x->server->ud, x);
-  settle(x);
+  if (x->handed_over) x->server->handler.drained(x->server->ud, x);
+  finish_exchange(x);
 }
 
 static void write_later (mt_http_exchange_t *x, const char *p, size_t n) {
@@ -181,7 +182,7 @@
   }
 }
 
-/* Writes what the system takes at once; the rest is written later. */
+/* Writes what the kernel accepts at once; libuv writes the rest later. */
 static void flush (mt_http_exchange_t *x) {
   unlink_dirty(x);
   size_t done = 0;
@@ -196,9 +197,9 @@
   }
   if (done < x->out.n) write_later(x, x->out.p + done, x->out.n - done);
   x->out.n = 0;
-  if (!x->closing && x->writing == 0 && x->told)
+  if (!x->closing && x->writing == 0 && x->handed_over)
     x->server->handler.drained(x->server->ud, x);
-  if (!x->closing) settle(x);
+  if (!x->closing) finish_exchange(x);
 }
 
 static void on_prepare (uv_prepare_t *prepare) {
@@ -212,7 +213,7 @@
 
 static int on_target (http_parser *parser, const char *p, size_t n) {
   mt_http_exchange_t *x = parser->data;
-  if (x->target.n + n > TARGET_MAX) return 1;
+  if (x->target.n + n > TARGET_MAX_BYTES) return 1;
   buffer_add(&x->target, p, n);
   return 0;
 }
@@ -223,26 +224,26 @@
 
 static int on_name (http_parser *parser, const char *p, size_t n) {
   mt_http_exchange_t *x = parser->data;
-  mt_http_headers_name(&x->headers, p, n);
+  mt_http_headers_append_name(&x->headers, p, n);
   return headers_too_large(x);
 }
 
 static int on_value (http_parser *parser, const char *p, size_t n) {
   mt_http_exchange_t *x = parser->data;
-  mt_http_headers_value(&x->headers, p, n);
+  mt_http_headers_append_value(&x->headers, p, n);
   return headers_too_large(x);
 }
 
 static int on_headers (http_parser *parser) {
   mt_http_exchange_t *x = parser->data;
   uint64_t length = parser->content_length;
-  bool counted = parser->flags & F_CONTENTLENGTH;
-  x->too_large = counted && length > x->server->limits.body_bytes;
+  bool has_length = parser->flags & F_CONTENTLENGTH;
+  x->too_large = has_length && length > x->server->limits.body_bytes;
   if (x->too_large) return -1;
   mt_bytes_t expect = mt_http_headers_find(&x->headers, "expect");
-  if (mt_bytes_same(expect, "100-continue")) {
-    static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
-    buffer_add(&x->out, go_on, sizeof go_on - 1);
+  if (mt_bytes_equal_nocase(expect, "100-continue")) {
+    static const char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
+    buffer_add(&x->out, interim, sizeof interim - 1);
     mark_dirty(x);
   }
   return 0;
@@ -259,7 +260,7 @@
 static int on_complete (http_parser *parser) {
   mt_http_exchange_t *x = parser->data;
   x->keep_alive = http_should_keep_alive(parser) && !parser->upgrade;
-  x->state = STATE_WAITING;
+  x->state = STATE_HANDLING;
   http_parser_pause(parser, 1);
   return 0;
 }
@@ -279,39 +280,39 @@
   x->target.n = 0;
   x->body.n = 0;
   x->state = STATE_IDLE;
-  x->since = mt_wake_clock_now(x->server->loop);
+  x->since = mt_boot_clock_now(x->server->loop);
   x->user = NULL;
 }
 
-/* Answers what could not be read and ends the connection. */
-static void refuse_input (mt_http_exchange_t *x, int status) {
+/* Responds to an invalid or late request and closes the connection. */
+static void reject_request (mt_http_exchange_t *x, int status) {
   x->keep_alive = false;
-  x->state = STATE_WAITING;
+  x->state = STATE_HANDLING;
   mt_http_exchange_head(x, status, "", 0, 0);
   mt_http_exchange_end(x);
 }
 
-/* Parses bytes of a request; what is left over is kept for after it. */
+/* Parses bytes of a request; bytes beyond its end are buffered. */
 static void parse (mt_http_exchange_t *x, const char *p, size_t n) {
   if (x->state == STATE_IDLE) {
     x->state = STATE_READING;
-    x->since = mt_wake_clock_now(x->server->loop);
+    x->since = mt_boot_clock_now(x->server->loop);
   }
   size_t used = http_parser_execute(&x->parser, &parser_settings, p, n);
-  if (x->state == STATE_WAITING) {
+  if (x->state == STATE_HANDLING) {
     http_parser_pause(&x->parser, 0);
-    buffer_add(&x->ahead, p + used, n - used);
-    x->told = true;
+    buffer_add(&x->pipelined, p + used, n - used);
+    x->handed_over = true;
     x->server->handler.request(x->server->ud, x);
     return;
   }
   if (HTTP_PARSER_ERRNO(&x->parser) == HPE_OK) return;
   if (x->too_large)
-    refuse_input(x, 413);
+    reject_request(x, 413);
   else if (headers_too_large(x))
-    refuse_input(x, 431);
+    reject_request(x, 431);
   else
-    refuse_input(x, 400);
+    reject_request(x, 400);
 }
 
 /* }== */
@@ -334,27 +335,28 @@
     parse(x, buf->base, (size_t)n);
     return;
   }
-  buffer_add(&x->ahead, buf->base, (size_t)n);
-  if (x->ahead.n > AHEAD_MAX) uv_read_stop(stream);
+  buffer_add(&x->pipelined, buf->base, (size_t)n);
+  if (x->pipelined.n > PIPELINED_MAX_BYTES) uv_read_stop(stream);
 }
 
-/* An answer is out: goes on with the next request or ends the connection. */
-static void settle (mt_http_exchange_t *x) {
-  if (x->told || x->state == STATE_IDLE || x->state == STATE_READING) return;
+/* After a response is written: reads the next request or closes. */
+static void finish_exchange (mt_http_exchange_t *x) {
+  if (x->handed_over || x->state == STATE_IDLE || x->state == STATE_READING)
+    return;
   if (x->writing > 0 || x->out.n > 0) return;
   if (x->close_after) {
     close_connection(x);
     return;
   }
   begin_reading(x);
-  buffer_t ahead = x->ahead;
-  x->ahead = (buffer_t){0};
+  buffer_t pipelined = x->pipelined;
+  x->pipelined = (buffer_t){0};
   uv_read_start((uv_stream_t *)&x->tcp, on_alloc, on_read);
-  if (ahead.n > 0) parse(x, ahead.p, ahead.n);
-  buffer_free(&ahead);
+  if (pipelined.n > 0) parse(x, pipelined.p, pipelined.n);
+  buffer_free(&pipelined);
 }
 
-/* Closes the connection that has been idle longest; false if none is. */
+/* Closes the connection that has been idle longest; false if none is idle. */
 static bool close_oldest_idle (mt_http_server_t *server) {
   mt_http_exchange_t *oldest = NULL;
   for (mt_http_exchange_t *x = server->all; x != NULL; x = x->next) {
@@ -365,25 +367,26 @@
   return oldest != NULL;
 }
 
-static int spare_descriptor (void) {
+static int open_spare_fd (void) {
   return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 }
 
 /*
-** No descriptor is left to take a connection with. The loop tries again at
-** once and for ever, so one must be freed here; the connection that gets the
-** spare one is closed.
+** No descriptor is left to accept a connection with. The loop would retry at
+** once and forever, so one must be freed here; a connection that is accepted
+** with the spare one is closed.
 */
-static void free_descriptor (mt_http_server_t *server) {
-  if (close_oldest_idle(server) || server->spare < 0) return;
-  close(server->spare);
-  server->spare = -1;
+static void release_descriptor (mt_http_server_t *server) {
+  if (close_oldest_idle(server) || server->spare_fd < 0) return;
+  close(server->spare_fd);
+  server->spare_fd = -1;
 }
 
-/* True when the connection that was just taken may stay. */
+/* True when a new connection may stay; at the limit closes an idle one. */
 static bool make_room (mt_http_server_t *server) {
-  if (server->spare < 0) return false;
-  if (server->most == 0 || server->count < server->most) return true;
+  if (server->spare_fd < 0) return false;
+  if (server->max_connections == 0 || server->count < server->max_connections)
+    return true;
   return close_oldest_idle(server);
 }
 
@@ -402,13 +405,13 @@
 
 static void on_connection (uv_stream_t *listener, int status) {
   mt_http_server_t *server = listener->data;
-  if (status == UV_EMFILE || status == UV_ENFILE) free_descriptor(server);
+  if (status == UV_EMFILE || status == UV_ENFILE) release_descriptor(server);
   if (status < 0) return;
-  bool stays = make_room(server);
+  bool has_room = make_room(server);
   mt_http_exchange_t *x = add_connection(server);
-  if (uv_accept(listener, (uv_stream_t *)&x->tcp) < 0 || !stays) {
+  if (uv_accept(listener, (uv_stream_t *)&x->tcp) < 0 || !has_room) {
     close_connection(x);
-    if (server->spare < 0) server->spare = spare_descriptor();
+    if (server->spare_fd < 0) server->spare_fd = open_spare_fd();
     return;
   }
   uv_tcp_nodelay(&x->tcp, 1);
@@ -421,7 +424,7 @@
 
 /* }== */
 
-/* {== The request and its answer ======================================= */
+/* {== The request and its response ===================================== */
 
 mt_bytes_t mt_http_exchange_method (const mt_http_exchange_t *x) {
   const char *name = http_method_str((enum http_method)x->parser.method);
@@ -450,17 +453,17 @@
   x->user = user;
 }
 
-bool mt_http_exchange_look (mt_http_exchange_t *x) {
+bool mt_http_exchange_check_connected (mt_http_exchange_t *x) {
   char byte;
   uv_os_fd_t fd;
   if (x->closing || uv_fileno((uv_handle_t *)&x->tcp, &fd) != 0) return false;
   ssize_t n = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  bool left = n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
-  if (left) close_connection(x);
-  return !left;
+  bool disconnected = n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
+  if (disconnected) close_connection(x);
+  return !disconnected;
 }
 
-static const char *reason_of (int status) {
+static const char *status_text (int status) {
   switch (status) {
 #define STATUS_NAME(number, name, text) \
   case number: return #text;
@@ -479,13 +482,13 @@
                             int64_t length) {
   char text[128];
   if (x->closing) return;
-  x->state = STATE_ANSWERING;
-  x->headless = !has_body(x, status);
-  x->chunked = length == MT_HTTP_CHUNKED && !x->headless;
+  x->state = STATE_RESPONDING;
+  x->no_body = !has_body(x, status);
+  x->chunked = length == MT_HTTP_CHUNKED && !x->no_body;
   x->close_after =
       !x->keep_alive || x->server->draining || length == MT_HTTP_UNTIL_CLOSE;
   int n = snprintf(text, sizeof text, "HTTP/1.1 %d %s\r\n", status,
-                   reason_of(status));
+                   status_text(status));
   buffer_add(&x->out, text, (size_t)n);
   buffer_add(&x->out, lines, lines_size);
   n = 0;
@@ -502,7 +505,7 @@
 
 void mt_http_exchange_data (mt_http_exchange_t *x, const char *p, size_t n) {
   char size[24];
-  if (x->closing || x->headless || n == 0) return;
+  if (x->closing || x->no_body || n == 0) return;
   if (x->chunked) {
     int digits = snprintf(size, sizeof size, "%zx\r\n", n);
     buffer_add(&x->out, size, (size_t)digits);
@@ -515,13 +518,13 @@
 void mt_http_exchange_end (mt_http_exchange_t *x) {
   if (x->closing) return;
   if (x->chunked) buffer_add(&x->out, "0\r\n\r\n", 5);
-  x->told = false;
+  x->handed_over = false;
   x->user = NULL;
   mark_dirty(x);
 }
 
 void mt_http_exchange_abort (mt_http_exchange_t *x) {
-  x->told = false;
+  x->handed_over = false;
   close_connection(x);
 }
 
@@ -543,14 +546,15 @@
   server->handler = *handler;
   server->ud = ud;
   server->limits = default_limits;
-  server->spare = spare_descriptor();
+  server->spare_fd = open_spare_fd();
   uv_tcp_init(loop, &server->listener);
   server->listener.data = server;
   int err = uv_ip4_addr(ip, port, &addr);
   if (err == 0)
     err = uv_tcp_bind(&server->listener, (const struct sockaddr *)&addr, 0);
   if (err == 0)
-    err = uv_listen((uv_stream_t *)&server->listener, BACKLOG, on_connection);
+    err = uv_listen((uv_stream_t *)&server->listener, LISTEN_BACKLOG,
+                    on_connection);
   if (err != 0) {
     snprintf(reason, size, "cannot listen on %s:%u: %s", ip, port,
              uv_strerror(err));
@@ -570,8 +574,8 @@
   return ntohs(addr.sin_port);
 }
 
-void mt_http_server_limits (mt_http_server_t *server,
-                            const mt_http_server_limits_t *limits) {
+void mt_http_server_set_limits (mt_http_server_t *server,
+                                const mt_http_server_limits_t *limits) {
   server->limits = *limits;
 }
 
@@ -579,8 +583,9 @@
   return server->count;
 }
 
-void mt_http_server_set_most (mt_http_server_t *server, size_t connections) {
-  server->most = connections;
+void mt_http_server_set_max_connections (mt_http_server_t *server,
+                                         size_t connections) {
+  server->max_connections = connections;
 }
 
 void mt_http_server_drain (mt_http_server_t *server, bool drain) {
@@ -596,7 +601,7 @@
 }
 
 void mt_http_server_tick (mt_http_server_t *server) {
-  mt_ms_t now = mt_wake_clock_now(server->loop);
+  mt_ms_t now = mt_boot_clock_now(server->loop);
   mt_http_exchange_t *next;
   for (mt_http_exchange_t *x = server->all; x != NULL; x = next) {
     next = x->next;
@@ -604,7 +609,7 @@
     if (x->state == STATE_IDLE && age > server->limits.idle_ms)
       close_connection(x);
     else if (x->state == STATE_READING && age > server->limits.header_ms)
-      refuse_input(x, 408);
+      reject_request(x, 408);
   }
 }
 
@@ -624,8 +629,8 @@
 }
 
 void mt_http_server_close (mt_http_server_t *server) {
-  if (server->spare >= 0) close(server->spare);
-  server->spare = -1;
+  if (server->spare_fd >= 0) close(server->spare_fd);
+  server->spare_fd = -1;
   while (server->all != NULL) close_connection(server->all);
   if (uv_is_closing((uv_handle_t *)&server->listener))
     on_listener_closed((uv_handle_t *)&server->listener);
--- a/src/net/log_writer.c
+++ b/src/net/log_writer.c
@@ -1,5 +1,5 @@
 /*
-** log_writer.c - structured lines on standard output, bounded, never blocking
+** log_writer.c - structured, rate-limited, non-blocking log
 */
 #include <fcntl.h>
 #include <stdarg.h>
@@ -14,15 +14,15 @@
 
 #define BUFFER_BYTES 65536
 #define LINE_BYTES 480
-#define WEIGHTS 3
+#define CLASSES 3
 #define SECOND_MS 1000
 
 struct mt_log_writer_t {
   int fd;
   int lines_per_s;
-  int lines[WEIGHTS]; /* in the current second */
+  int lines[CLASSES]; /* per class in the current second */
   mt_ms_t second;
-  uint64_t dropped, dropped_told;
+  uint64_t dropped, dropped_reported;
   char node[MT_NAME_MAX + 1];
   size_t used;
   char buffer[BUFFER_BYTES];
@@ -54,8 +54,8 @@
 }
 
 /*
-** Time of day, so that lines of several machines can be merged, and the
-** steady clock of this one, which no step of the time of day changes.
+** Time of day, so that the logs of several boxes can be merged, and the
+** monotonic time of this one, which no step of the time of day changes.
 */
 static int start_line (const mt_log_writer_t *log, char *line, size_t size,
                        mt_ms_t now, const char *event) {
@@ -66,32 +66,32 @@
                   (unsigned long long)now, log->node, event);
 }
 
-static void say_dropped (mt_log_writer_t *log, mt_ms_t now) {
+static void log_dropped (mt_log_writer_t *log, mt_ms_t now) {
   char line[LINE_BYTES];
-  if (log->dropped == log->dropped_told) return;
+  if (log->dropped == log->dropped_reported) return;
   int n = start_line(log, line, sizeof line, now, "log-lines-dropped");
   n += snprintf(line + n, sizeof line - (size_t)n, "total=%llu\n",
                 (unsigned long long)log->dropped);
-  log->dropped_told = log->dropped;
+  log->dropped_reported = log->dropped;
   append(log, line, (size_t)n);
 }
 
-/* True when a line of this weight may be written in this second. */
-static bool within_budget (mt_log_writer_t *log, mt_log_weight_t weight,
+/* True when the class has not reached its limit in this second. */
+static bool within_budget (mt_log_writer_t *log, mt_log_class_t line_class,
                            mt_ms_t now) {
   if (now / SECOND_MS != log->second) {
-    say_dropped(log, now);
+    log_dropped(log, now);
     log->second = now / SECOND_MS;
     memset(log->lines, 0, sizeof log->lines);
   }
-  return log->lines[weight]++ < log->lines_per_s;
+  return log->lines[line_class]++ < log->lines_per_s;
 }
 
-void mt_log_line (mt_log_writer_t *log, mt_log_weight_t weight, mt_ms_t now,
-                  const char *event, const char *format, ...) {
+void mt_log_line (mt_log_writer_t *log, mt_log_class_t line_class,
+                  mt_ms_t now, const char *event, const char *format, ...) {
   char line[LINE_BYTES];
   va_list ap;
-  if (!within_budget(log, weight, now)) {
+  if (!within_budget(log, line_class, now)) {
     log->dropped++;
     return;
   }
--- a/tests/documents_test.cc
+++ b/tests/documents_test.cc
@@ -1,4 +1,4 @@
-// documents_test.cc - which entries name an engine to use
+// documents_test.cc - which entries of engines are usable
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,22 +9,23 @@
 
 namespace {
 
-struct Read {
-  bool usable, leaving;
+struct ParsedEntry {
+  bool usable, drains;
   int slots;
   int64_t started_at;
 };
 
-Read read (const std::string &text) {
+ParsedEntry parse_entry (const std::string &text) {
   char ip[64];
   mt_gateway_engine_t e{};
   json_t *doc = json_loadb(text.data(), text.size(), 0, nullptr);
-  bool usable = mt_platform_engine(doc, "i-1", ip, &e);
+  bool usable = mt_platform_read_engine(doc, "i-1", ip, &e);
   json_decref(doc);
   return {usable, e.draining, e.slots, e.started_at};
 }
 
-// A whole entry, but for one member: its text instead, or nothing.
+// A complete entry; member `name` has the text `value` instead, or is missing
+// if that is empty.
 std::string entry (const std::string &name = "",
                    const std::string &value = "") {
   const char *const members[][2] = {
@@ -42,20 +43,20 @@
   return "{" + all + "}";
 }
 
-TEST(Documents, WhichEntriesNameAnEngine) {
+TEST(Documents, AcceptsOnlyUsableEngineEntries) {
   struct Row {
     const char *what, *member, *value;
     bool usable;
   } rows[] = {
-      {"as it should be", "", "", true},
-      {"it leaves", "state", "\"draining\"", true},
+      {"complete", "", "", true},
+      {"draining", "state", "\"draining\"", true},
       {"no state", "state", "", false},
-      {"a state that is not named", "state", "\"standby\"", false},
+      {"an unknown state", "state", "\"standby\"", false},
       {"a state of another type", "state", "1", false},
       {"no slots", "slots", "", false},
-      {"no slot", "slots", "0", false},
-      {"slots as text", "slots", "\"64\"", false},
-      {"a part of a slot", "slots", "1.5", false},
+      {"zero slots", "slots", "0", false},
+      {"slots as a string", "slots", "\"64\"", false},
+      {"a fractional number of slots", "slots", "1.5", false},
       {"no service", "service", "", false},
       {"an empty service", "service", "\"\"", false},
       {"a service of another type", "service", "[\"s\"]", false},
@@ -64,22 +65,22 @@
       {"no address", "addr", "", false},
       {"no port", "addr", "\"10.0.0.1\"", false},
       {"an address of another type", "addr", "null", false},
-      {"cold in words", "cold_left_ms", "\"long\"", false},
-      {"not cold", "cold_left_ms", "", true},
-      {"its start is not told", "born", "", true},
-      {"its start as text", "born", "\"1780000000000\"", false},
-      {"its start in parts", "born", "1780000000000.5", false},
+      {"the cold time as a string", "cold_left_ms", "\"long\"", false},
+      {"no cold time", "cold_left_ms", "", true},
+      {"no start time", "born", "", true},
+      {"the start time as a string", "born", "\"1780000000000\"", false},
+      {"a fractional start time", "born", "1780000000000.5", false},
   };
   for (const Row &row : rows)
-    EXPECT_EQ(read(entry(row.member, row.value)).usable, row.usable)
+    EXPECT_EQ(parse_entry(entry(row.member, row.value)).usable, row.usable)
         << row.what;
   for (const char *text : {"", "x", "[]", "7", "\"ready\"", "{}", "\xff\xfe"})
-    EXPECT_FALSE(read(text).usable) << text;
-  Read good = read(entry());
-  EXPECT_FALSE(good.leaving);
-  EXPECT_EQ(good.slots, 64);
-  EXPECT_EQ(good.started_at, 1780000000000);
-  EXPECT_TRUE(read(entry("state", "\"draining\"")).leaving);
+    EXPECT_FALSE(parse_entry(text).usable) << text;
+  ParsedEntry complete = parse_entry(entry());
+  EXPECT_FALSE(complete.drains);
+  EXPECT_EQ(complete.slots, 64);
+  EXPECT_EQ(complete.started_at, 1780000000000);
+  EXPECT_TRUE(parse_entry(entry("state", "\"draining\"")).drains);
 }
 
 } // namespace
--- a/tests/feed_plan_test.cc
+++ b/tests/feed_plan_test.cc
@@ -1,4 +1,4 @@
-// feed_plan_test.cc - which call to the store comes next: a table of views.
+// feed_plan_test.cc - the choice of the next call to the store
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,186 +9,186 @@
 
 namespace {
 
-TEST(FeedPlan, WhichCallComesNext) {
+TEST(FeedPlan, NextCall) {
   const mt_ms_t hold = 3000, long_ago = UINT32_MAX;
   struct Row {
     const char *what;
-    mt_feed_view_t view; // running, others, listed, settled, watches, behind,
-                         // only_new, idle, read, age, hold, took, partial,
-                         // paged, needed, restored
+    mt_feed_view_t view; // uptime, has_peers, listed, fresh_only, watches,
+                         // behind, only_new, idle, read, age, hold, took,
+                         // partial, paged, needed, restored
     mt_feed_call_t call;
     mt_ms_t wait;
   } rows[] = {
-      {"a start reads what was true some seconds ago",
+      {"the first read is a stale list",
        {0, true, false, false, true, false, false, false, 5000, long_ago,
         hold, 0, false, false, false, false},
-       MT_FEED_OLD_LIST,
+       MT_FEED_STALE_LIST,
        0},
-      {"alone it reads what is true now",
+      {"without peers it is a current list",
        {0, false, false, false, true, false, false, false, 5000, long_ago,
         hold, 0, false, false, false, false},
        MT_FEED_LIST,
        0},
-      {"history is gone: what is true now",
+      {"the history is gone: a current list",
        {90000, true, false, true, true, false, false, false, 5000, 100, hold,
         0, false, false, false, false},
        MT_FEED_LIST,
        0},
-      {"nobody watches before it has met the others",
+      {"no watch before the peers are known",
        {300, true, true, false, true, false, false, false, 5000, long_ago,
         hold, 0, false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"where there are no others it need not wait",
+      {"without peers there is no such wait",
        {0, false, true, false, true, false, false, false, 5000, long_ago,
         hold, 0, false, false, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"a watcher that nobody has told anything asks at once",
+       MT_FEED_PROBE_WAIT_MS},
+      {"a watcher probes when the store has answered no router yet",
        {500, true, true, false, true, false, false, false, 5000, long_ago,
         hold, 0, false, false, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"a watcher waits",
+       MT_FEED_PROBE_WAIT_MS},
+      {"a watcher lets the store hold its watch",
        {90000, true, true, false, true, false, false, false, 5000, 100, hold,
         0, false, false, false, false},
        MT_FEED_WATCH,
        hold},
-      {"a watcher that is behind is told at once, or notices that it is not",
+      {"a watcher that lacks a change probes",
        {90000, true, true, false, true, true, false, false, 5000, 100, hold,
         0, false, false, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"who is not a watcher and lacks nothing rests",
+       MT_FEED_PROBE_WAIT_MS},
+      {"not a watcher, lacks nothing: no call",
        {90000, true, true, false, false, false, false, false, 5000, 100, hold,
         0, false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"the store is silent and others try: it rests",
+      {"the store is silent and others probe it: no call",
        {90000, true, true, false, false, false, false, false, 5000, 5000,
         hold, 0, false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"it has just started: watchers will tell",
+      {"it has just started: watchers will report",
        {500, true, true, false, false, false, false, false, 5000, long_ago,
         hold, 0, false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"nobody has got through for long: it tries",
+      {"the store has answered no router for long: a probe",
        {90000, true, true, false, false, false, false, false, 5000, 10001,
         hold, 0, false, false, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"who lacks a change reads cheaply first",
+       MT_FEED_PROBE_WAIT_MS},
+      {"lacks a change: a stale list first",
        {90000, true, true, false, false, true, false, false, 5000, 100, hold,
         0, false, false, false, false},
-       MT_FEED_OLD_LIST,
+       MT_FEED_STALE_LIST,
        0},
-      {"then what is true now",
+      {"the stale list was too old: a probe",
        {90000, true, true, true, false, true, false, false, 5000, 100, hold,
         0, false, false, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"a little later, with what else has come",
+       MT_FEED_PROBE_WAIT_MS},
+      {"lacks a change: the read waits for more changes",
        {90000, true, true, false, false, true, false, false, 400, 100, hold,
         0, false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"what may be an engine that left is read soon",
+      {"what may be an engine that was removed is read soon",
        {90000, true, true, false, false, true, false, false, 500, 100, hold,
         0, false, false, false, false},
-       MT_FEED_OLD_LIST,
+       MT_FEED_STALE_LIST,
        0},
-      {"engines that have come can wait",
+      {"added engines can wait",
        {90000, true, true, false, false, true, true, false, 500, 100, hold, 0,
         false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"but not for ever",
+      {"but not forever",
        {90000, true, true, false, false, true, true, false, 2000, 100, hold,
         0, false, false, false, false},
-       MT_FEED_OLD_LIST,
+       MT_FEED_STALE_LIST,
        0},
-      {"what has come is needed: soon",
+      {"added engines that are needed are read soon",
        {90000, true, true, false, false, true, true, false, 100, 100, hold, 0,
         false, false, true, false},
-       MT_FEED_OLD_LIST,
+       MT_FEED_STALE_LIST,
        0},
-      {"but with what else has come",
+      {"needed, but the read waits for more changes",
        {90000, true, true, false, false, true, true, false, 99, 100, hold, 0,
         false, false, true, false},
        MT_FEED_NO_CALL,
        0},
-      {"and in turns where reads take long",
+      {"needed, but reads take long: one router in ten at a time",
        {90000, true, true, false, false, true, true, false, 800, 100, hold,
         100, false, false, true, false},
        MT_FEED_NO_CALL,
        0},
-      {"needed, and nobody knows of any",
+      {"needed, but no router knows a change",
        {90000, true, true, false, false, false, false, false, 5000, 100, hold,
         0, false, false, true, false},
        MT_FEED_NO_CALL,
        0},
-      {"nobody needs any yet",
+      {"no request has come yet: changes can wait",
        {90000, true, true, false, false, true, false, true, 500, 100, hold, 0,
         false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"a list from the past was too old: at once",
+      {"a stale list was too old: a probe at once",
        {90000, true, true, true, false, true, true, true, 0, 100, hold, 0,
         false, false, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"a watcher lets changes gather a little",
+       MT_FEED_PROBE_WAIT_MS},
+      {"a watcher waits briefly for more changes",
        {90000, true, true, false, true, false, false, false, 90, 100, hold, 0,
         false, false, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"and then waits for more",
+      {"and then watches again",
        {90000, true, true, false, true, false, false, false, 100, 100, hold,
         0, false, false, false, false},
        MT_FEED_WATCH,
        hold},
-      {"a list of several pages is not read from the past",
+      {"a list of several pages is not read stale",
        {90000, true, true, false, false, true, false, false, 5000, 100, hold,
         0, false, true, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"what engines have come is read by turns where reads take long",
+       MT_FEED_PROBE_WAIT_MS},
+      {"added engines, and reads take long: one router in ten at a time",
        {90000, true, true, false, false, true, true, false, 2000, 100, hold,
         300, false, true, false, false},
        MT_FEED_NO_CALL,
        0},
-      {"a tenth of the time at most",
+      {"nine times the duration of the read later",
        {90000, true, true, false, false, true, true, false, 2700, 100, hold,
         300, false, true, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"but it is read some time",
+       MT_FEED_PROBE_WAIT_MS},
+      {"after 5 s at the latest",
        {90000, true, true, false, false, true, true, false, 5000, 100, hold,
         4000, false, true, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"what did not fit into one answer is read on sooner",
+       MT_FEED_PROBE_WAIT_MS},
+      {"a read that lacked known changes is repeated sooner",
        {90000, true, true, false, false, true, true, true, 450, 100, hold, 50,
         true, true, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"what may have ended is read at once, however long that takes",
+       MT_FEED_PROBE_WAIT_MS},
+      {"what may be a removed engine is read, however long reads take",
        {90000, true, true, false, false, true, false, false, 500, 100, hold,
         400, true, true, false, false},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
-      {"behind a restore the past may show what was lost",
+       MT_FEED_PROBE_WAIT_MS},
+      {"after a restore: a current list, since a stale one may show what was lost",
        {90000, true, false, false, false, true, false, false, 5000, 100, hold,
         0, false, false, false, true},
        MT_FEED_LIST,
        0},
-      {"then changes are read as of now",
+      {"after a restore changes are read by a probe",
        {90000, true, true, false, false, true, false, false, 5000, 100, hold,
         0, false, false, false, true},
        MT_FEED_WATCH,
-       MT_FEED_PROBE_MS},
+       MT_FEED_PROBE_WAIT_MS},
   };
   for (const Row &row : rows) {
     mt_feed_plan_t plan = mt_feed_plan(&row.view);
@@ -197,23 +197,23 @@
   }
 }
 
-// Many that read all at once rest so long that a tenth of them reads; who
-// watches for others does not.
-TEST(FeedPlan, PagesAreReadByTurns) {
+// The delay between pages is nine times the read's duration, up to 5 s, so
+// that a tenth of many routers read at once. Watchers do not wait.
+TEST(FeedPlan, DelayBetweenPages) {
   struct Row {
     bool watches;
-    mt_ms_t took, rest;
+    mt_ms_t took, delay;
   } rows[] = {{true, 0, 0},   {true, 1200, 0},    {false, 0, 0},
               {false, 5, 45}, {false, 120, 1080}, {false, 9000, 5000}};
   for (const Row &row : rows) {
     mt_feed_view_t view{};
     view.watches = row.watches;
     view.took = row.took;
-    EXPECT_EQ(mt_feed_plan_between_pages(&view), row.rest) << row.took;
+    EXPECT_EQ(mt_feed_plan_page_delay(&view), row.delay) << row.took;
   }
 }
 
-TEST(FeedPlan, AWatchEndsWithinTheBounds) {
+TEST(FeedPlan, WatchHoldKeepsTheBounds) {
   struct Row {
     mt_feed_bounds_t bounds; // contact, apply
     bool leads;
@@ -221,7 +221,7 @@
   } rows[] = {
       {{3000, 2000}, false, 1800},  {{3000, 2000}, true, 1350},
       {{4000, 3000}, true, 2350},   {{5000, 4000}, true, 3350},
-      {{5000, 2000}, true, 2000}, // a watch may end just before its change
+      {{5000, 2000}, true, 2000}, // a watch may end just before the change
       {{60000, 60000}, true, 4000}, {{1000, 4000}, true, 500}};
   for (const Row &row : rows)
     EXPECT_EQ(mt_feed_plan_hold(&row.bounds, row.leads), row.hold)
--- a/tests/http_client_test.cc
+++ b/tests/http_client_test.cc
@@ -1,4 +1,4 @@
-// http_client_test.cc - calls that end before their answer
+// http_client_test.cc - calls that end before their response
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,14 +9,14 @@
 
 namespace {
 
-// A client and a server of one connection, in one loop.
-class Pair {
+// A client, and a server that accepts one connection, in one loop.
+class ClientAndServer {
 public:
-  std::string answer; // that the server sends when it has been told to
+  std::string response; // that the server sends by respond()
   int heads = 0, ends = 0, failures = 0;
   bool sent = false, closed = false; // as the server saw it
 
-  Pair() {
+  ClientAndServer() {
     sockaddr_in any{};
     uv_loop_init(&loop);
     uv_tcp_init(&loop, &server);
@@ -29,7 +29,7 @@
                                             on_end,  on_failed, nullptr};
     client = mt_http_client_open(&loop, &options, &handler);
   }
-  ~Pair() {
+  ~ClientAndServer() {
     mt_http_client_close(client);
     uv_close((uv_handle_t *)&server, nullptr);
     if (accepted) uv_close((uv_handle_t *)&peer, nullptr);
@@ -47,38 +47,38 @@
                                {"", 0}, 0, this);
   }
   void respond () {
-    uv_buf_t buf = uv_buf_init(&answer[0], (unsigned)answer.size());
+    uv_buf_t buf = uv_buf_init(&response[0], (unsigned)response.size());
     uv_try_write((uv_stream_t *)&peer, &buf, 1);
   }
-  void hang_up () {
+  void close_peer () {
     accepted = false;
     uv_close((uv_handle_t *)&peer, nullptr);
   }
-  // Runs the loop and the client's clock until it is so.
-  template <class F> void until (F so) {
-    while (!so()) {
+  // Runs the loop and the client's ticks until the condition holds.
+  template <class F> void until (F condition) {
+    while (!condition()) {
       uv_run(&loop, UV_RUN_NOWAIT);
       mt_http_client_tick(client);
     }
   }
 
 private:
-  uv_loop_t loop{}; // without a clock of its own
+  uv_loop_t loop{}; // without a boot clock
   uv_tcp_t server, peer;
   bool accepted = false;
   mt_http_client_t *client;
   char input[4096];
 
   static void on_alloc (uv_handle_t *h, size_t, uv_buf_t *buf) {
-    auto *p = (Pair *)h->data;
+    auto *p = (ClientAndServer *)h->data;
     *buf = uv_buf_init(p->input, sizeof p->input);
   }
   static void on_read (uv_stream_t *s, ssize_t n, const uv_buf_t *) {
-    if (n < 0) ((Pair *)s->data)->closed = true;
+    if (n < 0) ((ClientAndServer *)s->data)->closed = true;
     if (n < 0) uv_read_stop(s);
   }
   static void on_connection (uv_stream_t *s, int) {
-    auto *p = (Pair *)s->data;
+    auto *p = (ClientAndServer *)s->data;
     uv_tcp_init(&p->loop, &p->peer);
     p->peer.data = p;
     p->accepted = true;
@@ -86,65 +86,67 @@
     uv_read_start((uv_stream_t *)&p->peer, on_alloc, on_read);
   }
   static void on_sent (void *ud, mt_http_call_t *) {
-    ((Pair *)ud)->sent = true;
+    ((ClientAndServer *)ud)->sent = true;
   }
   static bool on_head (void *ud, mt_http_call_t *, int,
                        const mt_http_headers_t *) {
-    ((Pair *)ud)->heads++;
+    ((ClientAndServer *)ud)->heads++;
     return true;
   }
   static void on_data (void *, mt_http_call_t *, const char *, size_t) {
   }
   static void on_end (void *ud, mt_http_call_t *) {
-    ((Pair *)ud)->ends++;
+    ((ClientAndServer *)ud)->ends++;
   }
   static void on_failed (void *ud, mt_http_call_t *, mt_http_failure_t) {
-    ((Pair *)ud)->failures++;
+    ((ClientAndServer *)ud)->failures++;
   }
 };
 
-// A caller left as its request went out, and the engine's refusal with the
-// backoff that it asked for was never read: requests came during the backoff.
-TEST(HttpClient, ALingeringCallReadsTheHeadOfItsAnswer) {
-  enum class Then { ANSWERS, SILENT, HANGS_UP, CLIENT_CLOSES };
+// Guards against losing an engine's Retry-After: a caller disconnected while
+// its request was sent, so the 503 was never read, and the engine got further
+// requests during the backoff that it had asked for.
+TEST(HttpClient, ALingeringCallReadsTheHeadOfItsResponse) {
+  enum class Action { RESPONDS, SILENT, CLOSES, CLIENT_CLOSES };
   struct Row {
     const char *what;
-    Then then;
+    Action action;
     int heads;
   } rows[] = {
-      {"the server answers", Then::ANSWERS, 1},
-      {"it stays silent", Then::SILENT, 0},
-      {"it hangs up", Then::HANGS_UP, 0},
-      {"the client closes", Then::CLIENT_CLOSES, 0},
+      {"the server responds", Action::RESPONDS, 1},
+      {"the server stays silent", Action::SILENT, 0},
+      {"the server closes the connection", Action::CLOSES, 0},
+      {"the client is closed", Action::CLIENT_CLOSES, 0},
   };
   for (const Row &row : rows) {
     int failures = 0;
     {
-      Pair p;
-      p.answer = "HTTP/1.1 503 Busy\r\nRetry-After: 4\r\n"
-                 "Content-Length: 4\r\n\r\nbusy";
+      ClientAndServer p;
+      p.response = "HTTP/1.1 503 Busy\r\nRetry-After: 4\r\n"
+                   "Content-Length: 4\r\n\r\nbusy";
       mt_http_call_t *call = p.call();
-      EXPECT_FALSE(mt_http_call_linger(call, 20)) << "not sent yet";
+      EXPECT_FALSE(mt_http_call_linger(call, 20)) << "before it is sent";
       p.until([&] { return p.sent; });
       ASSERT_TRUE(mt_http_call_linger(call, 20)) << row.what;
-      if (row.then == Then::ANSWERS) p.respond();
-      if (row.then == Then::HANGS_UP) p.hang_up();
-      if (row.then != Then::CLIENT_CLOSES)
+      if (row.action == Action::RESPONDS) p.respond();
+      if (row.action == Action::CLOSES) p.close_peer();
+      if (row.action != Action::CLIENT_CLOSES)
         p.until([&] { return p.failures > 0; });
-      if (row.then == Then::ANSWERS || row.then == Then::SILENT)
+      if (row.action == Action::RESPONDS || row.action == Action::SILENT)
         p.until([&] { return p.closed; });
       EXPECT_EQ(p.heads, row.heads) << row.what;
       EXPECT_EQ(p.ends, 0) << row.what;
       failures = p.failures;
     }
-    EXPECT_EQ(failures, row.then == Then::CLIENT_CLOSES ? 0 : 1) << row.what;
+    EXPECT_EQ(failures, row.action == Action::CLIENT_CLOSES ? 0 : 1)
+        << row.what;
   }
 }
 
-// Behind the head there is nothing to wait for.
-TEST(HttpClient, ACallWhoseAnswerHasBegunDoesNotLinger) {
-  Pair p;
-  p.answer = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nsome";
+// There is nothing to wait for once the head has been read.
+TEST(HttpClient, ACallWhoseResponseHasBegunDoesNotLinger) {
+  ClientAndServer p;
+  p.response = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nsome";
   mt_http_call_t *call = p.call();
   p.until([&] { return p.sent; });
   p.respond();
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -293,17 +293,17 @@
 TEST(Membership, AllAgreeOnOwners) {
   for (int count : {6, 58, 300}) {
     Fleet fleet(count, 5);
-    std::map<uint32_t, int> cached;
+    std::map<uint32_t, int> owned;
     for (uint64_t engine = 1; engine <= 500; engine++) {
       mt_id_t domain = (mt_id_t)(1 + engine % 5);
       uint32_t owner = mt_membership_owner(&fleet.routers[0], engine, domain);
-      cached[owner]++;
+      owned[owner]++;
       for (mt_membership_t &m : fleet.routers)
         ASSERT_EQ(mt_membership_owner(&m, engine, domain), owner);
       for (mt_membership_t &m : fleet.routers)
         EXPECT_TRUE(m.own_ip != owner || m.own_domain == domain);
     }
-    for (auto &k : cached)
+    for (auto &k : owned)
       EXPECT_LE(k.second, 500 / count * 3 + 12); // evenly, about
   }
 }
--- a/tests/store_restored_test.cc
+++ b/tests/store_restored_test.cc
@@ -1,5 +1,5 @@
-// store_restored_test.cc - a gateway whose store comes back from a copy, with
-// revisions that are given out again.
+// store_restored_test.cc - a gateway whose store is restored from a copy and
+// issues the same revisions again
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A store, engines of one service, and which of them ran requests.
+// A store, the engines of one service, and how many requests each ran.
 struct Fleet {
   World w;
   std::map<std::string, int> ran;
@@ -31,20 +31,20 @@
   void set (const std::string &id, const char *state) {
     w.engine(id, "plain", engines[id], state);
   }
-  // Raises the store's revision without a change of anything.
-  void pass_revisions (int count) {
+  // Raises the store's revision without changing any content.
+  void raise_revision (int count) {
     for (int i = 0; i < count; i++)
       w.put("op/config", World::config(7, "key-w1"));
   }
-  bool logs (const std::string &text) {
+  bool wait_for_log (const std::string &text) {
     return w.until([&] { return w.log.find(text) != w.log.npos; });
   }
-  bool leaves (const std::string &id) {
-    return logs("engine=" + id +
-                " address=127.0.0.1:" + std::to_string(engines[id]->port) +
-                " running=0 outcome=leaving");
+  bool wait_for_drain (const std::string &id) {
+    return wait_for_log("engine=" + id + " address=127.0.0.1:" +
+                        std::to_string(engines[id]->port) +
+                        " running=0 outcome=leaving");
   }
-  // Requests of `count` that ran at an engine.
+  // Sends `count` requests; how many of them the engine ran.
   int runs_at (const std::string &id, int count) {
     int before = ran[id];
     for (int i = 0; i < count; i++)
@@ -55,105 +55,106 @@
   }
 };
 
-// Between the list and the next watch the store reaches the revision that the
-// router knew before the restore.
-TEST(StoreRestored, ALeavingAtARevisionSeenBeforeIsTaken) {
+// Guards against missing a change whose revision the router already knew
+// before the restore: the store reaches it again between the list and the
+// next watch.
+TEST(StoreRestored, ADrainAtAReusedRevisionIsApplied) {
   Fleet f(2);
   World::Copy copy = f.w.copy();
-  f.pass_revisions(6);
+  f.raise_revision(6);
   f.w.start();
   f.w.restore(copy);
   f.w.on_list = [&] (const std::string &range) {
     if (range != "servers/") return;
     f.w.on_list = nullptr;
     f.set("i-1", "draining");
-    f.pass_revisions(5);
+    f.raise_revision(5);
   };
-  EXPECT_TRUE(f.leaves("i-1"));
+  EXPECT_TRUE(f.wait_for_drain("i-1"));
   EXPECT_EQ(f.runs_at("i-1", 5), 0);
 }
 
-// Each restore is noticed, also where the store is back before it was missed.
-TEST(StoreRestored, SeveralTimesInARow) {
+// Each restore is noticed, even if the store is back before any call failed.
+TEST(StoreRestored, SeveralRestoresInARow) {
   Fleet f(4);
   World::Copy copy = f.w.copy();
-  f.pass_revisions(6);
+  f.raise_revision(6);
   f.w.start();
   for (int i = 1; i <= 3; i++) {
     std::string id = "i-" + std::to_string(i);
     f.w.restore(copy);
     f.w.restore(copy);
     for (int k = 1; k <= i; k++) f.set("i-" + std::to_string(k), "draining");
-    ASSERT_TRUE(f.leaves(id));
+    ASSERT_TRUE(f.wait_for_drain(id));
     EXPECT_EQ(f.runs_at(id, 5), 0);
-    f.pass_revisions(6);
+    f.raise_revision(6);
   }
 }
 
-// The pages of a list that a restore divides are not of one state.
-TEST(StoreRestored, InTheMiddleOfAPagedList) {
+// Guards against combining pages of a list from before and after a restore.
+TEST(StoreRestored, ARestoreInTheMiddleOfAPagedList) {
   Fleet f(6);
   World::Copy copy = f.w.copy();
-  f.pass_revisions(6);
+  f.raise_revision(6);
   f.w.page = 2;
   int lists = 0;
   f.w.on_list = [&] (const std::string &range) {
     if (range != "servers/" || ++lists != 2) return;
     f.w.restore(copy);
     f.set("i-1", "draining");
-    f.pass_revisions(5);
+    f.raise_revision(5);
   };
   f.w.start();
-  EXPECT_TRUE(f.leaves("i-1"));
+  EXPECT_TRUE(f.wait_for_drain("i-1"));
   EXPECT_GE(lists, 5);
   EXPECT_EQ(f.runs_at("i-1", 5), 0);
 }
 
-// A part of the store that was not restored, or an answer that comes late.
-TEST(StoreRestored, AnAnswerOfAnEarlierEraMovesNothingBack) {
+// Such a response is late, or from a part of the store that was not restored.
+TEST(StoreRestored, AResponseOfAnEarlierEraIsIgnored) {
   Fleet f(3);
   f.w.era = 2;
   f.w.start();
   f.set("i-1", "draining");
-  ASSERT_TRUE(f.leaves("i-1"));
+  ASSERT_TRUE(f.wait_for_drain("i-1"));
   World::Copy now = f.w.copy();
   size_t before = f.w.log.size();
   f.w.era = 1;
   f.set("i-1", "ready");
   f.w.forget();
-  ASSERT_TRUE(f.logs("era=1 at=2/"));
+  ASSERT_TRUE(f.wait_for_log("era=1 at=2/"));
   EXPECT_EQ(f.runs_at("i-1", 5), 0);
   f.w.restore(now);
   f.set("i-2", "draining");
-  EXPECT_TRUE(f.leaves("i-2"));
+  EXPECT_TRUE(f.wait_for_drain("i-2"));
   EXPECT_EQ(f.w.log.find("engine=i-1 ", before), f.w.log.npos);
   EXPECT_EQ(f.runs_at("i-1", 5), 0);
 }
 
-// What is written behind the copy, and the lines by which a router takes it
-// and undoes it: of whom, and their outcomes.
-struct Written {
+// A write after the copy was made, and the outcomes in the log when a router
+// applies and undoes it; `subject` selects the lines.
+struct LateWrite {
   const char *what;
   std::function<void(Fleet &)> write;
   const char *range, *subject, *taken, *undone;
 };
 
-std::vector<Written> all_written () {
-  return {{"an engine came", [] (Fleet &f) { f.set("i-3", "ready"); },
+std::vector<LateWrite> late_writes () {
+  return {{"an engine is added", [] (Fleet &f) { f.set("i-3", "ready"); },
            "servers/", "engine=i-3 ", "ready", "vanished"},
-          {"an engine leaves", [] (Fleet &f) { f.set("i-1", "draining"); },
+          {"an engine drains", [] (Fleet &f) { f.set("i-1", "draining"); },
            "servers/", "engine=i-1 ", "leaving", "ready"},
-          {"an engine left without a word",
+          {"an engine is removed without draining",
            [] (Fleet &f) { f.w.remove("servers/i-1"); }, "servers/",
            "engine=i-1 ", "vanished", "ready"},
-          {"a failure domain is emptied",
+          {"a failure domain is evacuated",
            [] (Fleet &f) { f.w.put("op/evacuate/d9", "{}"); }, "op/",
            "domain=d9 ", "begun", "over"}};
 }
 
-// Plays one row: the restore, and what was lost is written again or not.
-// True when the router undid it.
-bool is_undone (const Written &row, bool again) {
+// Restores the store after the row's write, which is then repeated or not.
+// True when the router undid the write.
+bool is_undone (const LateWrite &row, bool again) {
   Fleet f(3);
   f.w.items.erase("servers/i-3");
   World::Copy copy = f.w.copy();
@@ -168,7 +169,7 @@
   };
   row.write(f);
   EXPECT_TRUE(f.w.until([&] { return logged(row.taken, 0); })) << row.what;
-  f.pass_revisions(4);
+  f.raise_revision(4);
   size_t before = f.w.log.size();
   int lists = 0;
   f.w.on_list = [&] (const std::string &range) {
@@ -182,26 +183,27 @@
   return logged(row.undone, before);
 }
 
-// The copy lacks what was written last; its writers write that again.
-TEST(StoreRestored, WhatIsWrittenAgainStandsMeanwhile) {
-  for (const Written &row : all_written())
+// The copy lacks the last writes; their writers repeat them.
+TEST(StoreRestored, WhatIsWrittenAgainIsKept) {
+  for (const LateWrite &row : late_writes())
     EXPECT_FALSE(is_undone(row, true)) << row.what;
 }
 
-TEST(StoreRestored, WhatIsNotWrittenAgainIsTakenFromTheStore) {
-  for (const Written &row : all_written())
+TEST(StoreRestored, WhatIsNotWrittenAgainIsUndone) {
+  for (const LateWrite &row : late_writes())
     EXPECT_TRUE(is_undone(row, false)) << row.what;
 }
 
-// The copy has an older document, in which the key was valid.
+// The copy has an older document, in which the revoked key is valid.
 TEST(StoreRestored, ARevokedKeyStaysRevoked) {
   Fleet f(1);
   World::Copy copy = f.w.copy();
   f.w.start();
   f.w.put("op/config", World::config(8, "key-new"));
-  ASSERT_TRUE(f.logs("version=8 "));
+  ASSERT_TRUE(f.wait_for_log("version=8 "));
   f.w.restore(copy);
-  ASSERT_TRUE(f.logs("version=7 routes=3 workspaces=1 outcome=older"));
+  ASSERT_TRUE(
+      f.wait_for_log("version=7 routes=3 workspaces=1 outcome=older"));
   EXPECT_EQ(World::status_of(f.w.call(World::ask("/safe/x", "q"))), 401);
 }
 
