--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -1,8 +1,9 @@
 /*
-** dialect.h - how requests and answers are spelt at one kind of platform
+** dialect.h - a platform's header fields, read and written as typed values
 **
-** The gateway knows HTTP; a dialect knows which header fields carry what. It
-** translates and decides nothing.
+** The gateway handles HTTP itself; a dialect maps header fields to the
+** relay's terms and back. It only translates and makes no decisions. Also
+** declares the string buffer that header lines are written to (strbuf.c).
 */
 #ifndef dialect_h
 #define dialect_h
@@ -10,38 +11,44 @@
 #include "http_headers.h"
 #include "relay.h"
 
-/* A text that grows. */
-typedef struct mt_text_t {
+/* A growable string buffer: `n` bytes at `p`, not zero-terminated. */
+typedef struct mt_strbuf_t {
   char *p;
   size_t n, cap;
-} mt_text_t;
+} mt_strbuf_t;
 
-void mt_text_add (mt_text_t *text, const char *p, size_t n);
-void mt_text_format (mt_text_t *text, const char *format, ...)
+void mt_strbuf_append (mt_strbuf_t *text, const char *p, size_t n);
+/* Appends formatted text, cut to 511 bytes for each call. */
+void mt_strbuf_format (mt_strbuf_t *text, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
-void mt_text_free (mt_text_t *text);
+/* Frees the memory; the buffer is empty and usable afterwards. */
+void mt_strbuf_free (mt_strbuf_t *text);
 
-/* What the gateway adds to a request on its way to an engine. */
-typedef struct mt_dialect_sent_t {
-  const char *instance;  /* the engine's incarnation */
+/* Values that the gateway adds to a request that it forwards to an engine. */
+typedef struct mt_dialect_fields_t {
+  const char *instance;  /* name of the engine that the request is for */
   const char *workspace; /* NULL: none */
-  mt_ms_t deadline_ms;
-  int64_t last_event; /* -1: from the start */
-  const char *source; /* IP:PORT to take kept parts from; NULL: none */
-} mt_dialect_sent_t;
+  mt_ms_t deadline_ms;   /* time left to answer */
+  int64_t last_event;    /* id of the last stream event that the caller has;
+                            -1: none */
+  const char *source;    /* IP:PORT of an engine to fetch cached tokens from;
+                            NULL: none */
+} mt_dialect_fields_t;
 
 typedef struct mt_dialect_t {
-  /* Reads what a caller's header fields say; all else is already set. */
+  /* Reads a caller's header fields into `ask`; host, path and digest are
+     already set. */
   void (*read_request)(const mt_http_headers_t *headers, mt_relay_ask_t *ask);
-  /* Appends the header lines for an engine, all but host and framing. */
+  /* Appends the header lines for an engine, except Content-Length. */
   void (*write_request)(const mt_http_headers_t *headers,
-                        const mt_dialect_sent_t *sent, mt_text_t *out);
-  /* What an engine's head says of the request. */
-  mt_relay_verdict_t (*judge)(int status, const mt_http_headers_t *headers);
-  /* What an engine's head says of the engine itself. */
+                        const mt_dialect_fields_t *fields, mt_strbuf_t *out);
+  /* Whether the engine ran the request, by the head of its answer. */
+  mt_relay_verdict_t (*classify)(int status,
+                                 const mt_http_headers_t *headers);
+  /* What the head of an answer says about the engine: draining, backoff. */
   mt_engine_notice_t (*notice)(int status, const mt_http_headers_t *headers);
-  /* True when the answer belongs to the request with this id. */
-  bool (*belongs)(const mt_http_headers_t *headers, mt_bytes_t id);
+  /* True if the answer is to the request with this id. */
+  bool (*matches)(const mt_http_headers_t *headers, mt_bytes_t id);
 } mt_dialect_t;
 
 #endif
--- a/src/gateway/explain.c
+++ b/src/gateway/explain.c
@@ -1,5 +1,5 @@
 /*
-** explain.c - from a request's id to its cause, out of the logs
+** explain.c - prints the log lines that explain the outcome of one request
 */
 #include <stdbool.h>
 #include <stdio.h>
@@ -9,13 +9,16 @@
 #include "explain.h"
 #include "mtmem.h"
 
-#define BEFORE_S 10.0 /* beliefs so much older than the request are shown */
+/* State changes are shown from so long before the request's first line to so
+   long after its last. Lines about suspects go back further: a quarantine can
+   be that old. */
+#define BEFORE_S 10.0
 #define AFTER_S 1.0
 #define SUSPECT_BEFORE_S 7200.0
-#define FIELD_BYTES 128
+#define FIELD_BYTES 128 /* longer values are cut */
 
 typedef struct line_t {
-  double time;
+  double time; /* seconds */
   char *text;
 } line_t;
 
@@ -24,7 +27,7 @@
   size_t count, cap;
 } lines_t;
 
-/* The value of "name=" in a line, copied; false when it has none. */
+/* Copies the value of the field `name` of a line; false if it has none. */
 static bool field (const char *line, const char *name, char *out) {
   size_t size = strlen(name);
   const char *p = line;
@@ -41,7 +44,8 @@
   return true;
 }
 
-static bool has (const char *line, const char *name, const char *value) {
+static bool has_value (const char *line, const char *name,
+                       const char *value) {
   char found[FIELD_BYTES];
   return field(line, name, found) && strcmp(found, value) == 0;
 }
@@ -67,50 +71,54 @@
   return (x->time > y->time) - (x->time < y->time);
 }
 
-/* True when a request's line in the list names this router or engine. */
-static bool met (const lines_t *lines, const char *id, const char *name,
-                 const char *value) {
+/* True if a line of the request `id` has this value in the field `name`. */
+static bool request_names (const lines_t *lines, const char *id,
+                           const char *name, const char *value) {
   for (size_t i = 0; i < lines->count; i++)
-    if (has(lines->list[i].text, "id", id) &&
-        has(lines->list[i].text, name, value))
+    if (has_value(lines->list[i].text, "id", id) &&
+        has_value(lines->list[i].text, name, value))
       return true;
   return false;
 }
 
-/* A belief counts if its router had the request, and its engine did; one of
-   suspects if it is about this request, whichever router had it. */
-static bool matters (const lines_t *lines, const char *id, const char *text) {
+/* A state change is relevant if it was logged by a router that handled the
+   request and, if it is about an engine, the request went there. One about a
+   suspect is relevant if it is about this request, at any router. */
+static bool is_relevant (const lines_t *lines, const char *id,
+                         const char *text) {
   char node[FIELD_BYTES], engine[FIELD_BYTES], digest[FIELD_BYTES];
-  if (has(text, "event", "request")) return false;
-  if (field(text, "digest", digest)) return met(lines, id, "digest", digest);
-  if (!field(text, "node", node) || !met(lines, id, "node", node))
+  if (has_value(text, "event", "request")) return false;
+  if (field(text, "digest", digest))
+    return request_names(lines, id, "digest", digest);
+  if (!field(text, "node", node) || !request_names(lines, id, "node", node))
     return false;
-  return !field(text, "engine", engine) || met(lines, id, "engine", engine);
+  return !field(text, "engine", engine) ||
+         request_names(lines, id, "engine", engine);
 }
 
-static void span_of (const lines_t *lines, const char *id, double *first,
-                     double *last) {
+static void time_span (const lines_t *lines, const char *id, double *first,
+                       double *last) {
   *first = *last = 0;
   for (size_t i = 0; i < lines->count; i++) {
-    if (!has(lines->list[i].text, "id", id)) continue;
+    if (!has_value(lines->list[i].text, "id", id)) continue;
     if (*first == 0) *first = lines->list[i].time;
     *last = lines->list[i].time;
   }
 }
 
-/* What is believed of a request itself may be as old as its quarantine. */
-static double before_of (const line_t *line) {
-  return has(line->text, "event", "suspect") ? SUSPECT_BEFORE_S : BEFORE_S;
+static double lookback_s (const line_t *line) {
+  return has_value(line->text, "event", "suspect") ? SUSPECT_BEFORE_S
+                                                   : BEFORE_S;
 }
 
 static void print (const lines_t *lines, const char *id, double first,
                    double last) {
   for (size_t i = 0; i < lines->count; i++) {
     const line_t *line = &lines->list[i];
-    bool own = has(line->text, "id", id);
-    bool near =
-        line->time >= first - before_of(line) && line->time <= last + AFTER_S;
-    if (!own && !(near && matters(lines, id, line->text))) continue;
+    bool own = has_value(line->text, "id", id);
+    bool in_window = line->time >= first - lookback_s(line) &&
+                     line->time <= last + AFTER_S;
+    if (!own && !(in_window && is_relevant(lines, id, line->text))) continue;
     printf("%+9.3f %c %s", line->time - first, own ? '>' : ' ', line->text);
   }
 }
@@ -121,13 +129,13 @@
   int code = 0;
   for (size_t i = 0; i < count; i++)
     if (!read_file(files[i], &lines)) {
-      fprintf(stderr, "cannot read %s\n", files[i]);
+      fprintf(stderr, "cannot read log file %s\n", files[i]);
       code = 2;
     }
   qsort(lines.list, lines.count, sizeof *lines.list, by_time);
-  span_of(&lines, id, &first, &last);
+  time_span(&lines, id, &first, &last);
   if (first == 0) {
-    fprintf(stderr, "no line of request %s\n", id);
+    fprintf(stderr, "request %s is in none of the log files\n", id);
     if (code == 0) code = 1;
   } else {
     print(&lines, id, first, last);
--- a/src/gateway/explain.h
+++ b/src/gateway/explain.h
@@ -1,5 +1,5 @@
 /*
-** explain.h - from a request's id to its cause, out of the logs
+** explain.h - prints the log lines that explain the outcome of one request
 */
 #ifndef explain_h
 #define explain_h
@@ -8,9 +8,10 @@
 
 /*
 ** Reads the gateways' log files and prints, in order of time, every line of
-** the request and, of the routers that had it, what they came to believe of
-** the engines, store and configuration it met in the seconds before.
-** Returns 0, 1 when the id is in no file, 2 when a file cannot be read.
+** the request `id` and the state changes (engines, store, configuration)
+** that the routers which handled it logged in the 10 s before it and the 1 s
+** after. Returns 0, 1 when the id is in no file, 2 when a file cannot be
+** read.
 */
 int mt_explain (const char *id, const char *const *files, size_t count);
 
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -1,5 +1,5 @@
 /*
-** gateway.c - connections around the relay: callers, engines, readiness
+** gateway.c - the gateway process: connections, effects, ticks, start, stop
 */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,68 +14,74 @@
 #include "suspects_page.h"
 #include "tick_interval.h"
 
-/* Some trips of any link; a lost packet is sent again after 1 s only. */
+/* Several round trips on any link. A lost SYN is only retransmitted after
+   1 s, so waiting somewhat longer does not help. */
 #define CONNECT_MS 150
+/* Of connections to engines: idle time until they are closed, and
+   TCP_USER_TIMEOUT. */
 #define IDLE_MS 20000
 #define USER_TIMEOUT_MS 2000
-/* Of a slow caller, before its engine waits. */
-#define BACKLOG_MAX (256u << 10)
-/* After the order to stop: nobody new comes any more. */
-#define LEAVE_MS 2500
-#define CALLERS_PART 0.55 /* of the descriptors, for callers' connections */
-#define ENGINES_PART 0.35 /* for those to engines */
-/* Wait for an answer's head when the caller has left; an engine that rejects
-   a request does so at once. */
+/* Unsent answer bytes of a slow caller at which reading from the engine
+   pauses. */
+#define BACKLOG_MAX_BYTES (256u << 10)
+/* Time after the stop signal for load balancers to see that the gateway is
+   not ready and to send no new connections. */
+#define BALANCER_REMOVAL_MS 2500
+#define CALLER_FD_FRACTION 0.55 /* of the file descriptors, for callers */
+#define ENGINE_FD_FRACTION 0.35 /* and for connections to engines */
+/* How long to wait for the head of an answer after the caller has
+   disconnected; an engine that rejects a request does so at once. */
 #define LINGER_MS 50
-#define LAST_MS 400 /* of the grace, kept for the last bytes */
+#define FLUSH_RESERVE_MS 400 /* of the stop grace, for the last writes */
 
-/* One request at the gateway: a caller's connection and an engine's. */
-typedef struct passage_t {
+/* A request in progress: the caller's exchange and its attempt. */
+typedef struct inflight_t {
   mt_gateway_t *gateway;
   uint64_t number;
   mt_http_exchange_t *exchange;
-  struct attempt_t *attempt; /* the current one */
-  /* The first head that is to be passed on. */
+  struct attempt_t *attempt; /* the current one, or NULL */
+  /* Status and header lines of the answer, for the caller. */
   int status;
-  mt_text_t head;
-  bool head_kept;
-} passage_t;
+  mt_strbuf_t head;
+  bool head_sent; /* passed on to the caller; no longer replaced */
+} inflight_t;
 
-/* One call to an engine; it may outlive its passage. */
+/* One call to an engine. It may outlive its request, to read a late head. */
 typedef struct attempt_t {
-  passage_t *passage; /* NULL: nobody waits for it */
+  inflight_t *inflight; /* NULL: the request no longer waits for it */
   mt_gateway_t *gateway;
   mt_http_call_t *call;
   int number;
   uint64_t engine;    /* its key */
-  int64_t started_at; /* the start of it that was meant */
-  char id[64];        /* of the request */
+  int64_t started_at; /* the start of the engine that it was sent to */
+  char id[64];        /* the caller's id of the request */
 } attempt_t;
 
 /* {== Effects ========================================================== */
 
-static void tell_sent (attempt_t *a);
+static void notify_sent (attempt_t *a);
 
-static void release (mt_gateway_t *g, passage_t *p) {
-  if (p->attempt != NULL) p->attempt->passage = NULL;
-  mtV_del(&g->passages, p->number);
-  mt_text_free(&p->head);
+static void release (mt_gateway_t *g, inflight_t *p) {
+  if (p->attempt != NULL) p->attempt->inflight = NULL;
+  mtV_del(&g->inflight_by_number, p->number);
+  mt_strbuf_free(&p->head);
   free(p);
 }
 
-/* An engine that rejects at once may ask for backoff in that answer, so the
-   connection stays open for it when the caller leaves first. */
-static void end_attempt (passage_t *p) {
+/* An engine that rejects a request at once may ask for backoff in that
+   answer, so the connection stays open for it if the caller disconnects
+   first. */
+static void abandon_attempt (inflight_t *p) {
   attempt_t *a = p->attempt;
   if (a == NULL) return;
   p->attempt = NULL;
-  a->passage = NULL;
+  a->inflight = NULL;
   if (mt_http_call_linger(a->call, LINGER_MS)) return;
   mt_http_call_cancel(a->call);
   free(a);
 }
 
-static void do_refuse (mt_gateway_t *g, passage_t *p,
+static void do_refuse (mt_gateway_t *g, inflight_t *p,
                        const mt_relay_effect_t *fx) {
   char lines[160], body[96];
   mt_relay_refusal_t why = fx->u.refuse.why;
@@ -100,50 +106,52 @@
   return NULL;
 }
 
-static void write_request (mt_gateway_t *g, passage_t *p,
+static void write_request (mt_gateway_t *g, inflight_t *p,
                            const mt_engine_t *engine,
                            const mt_relay_effect_t *fx) {
-  mt_text_t *out = &g->scratch;
+  mt_strbuf_t *out = &g->scratch;
   mt_http_exchange_t *x = p->exchange;
   mt_bytes_t method = mt_http_exchange_method(x);
   mt_bytes_t target = mt_http_exchange_target(x);
   mt_bytes_t body = mt_http_exchange_body(x);
   char source[64] = "";
-  const mt_engine_t *giver =
+  const mt_engine_t *kv_source =
       mt_engines_get(&g->relay->engines, fx->u.start.source);
-  if (fx->u.start.source != 0 && giver != NULL)
-    snprintf(source, sizeof source, "%s:%u", giver->ip, giver->port);
-  mt_dialect_sent_t sent = {.instance = engine->name,
-                            .workspace =
-                                workspace_name(g, fx->u.start.workspace),
-                            .deadline_ms = fx->u.start.deadline_ms,
-                            .last_event = fx->u.start.last_event,
-                            .source = source[0] != '\0' ? source : NULL};
+  if (fx->u.start.source != 0 && kv_source != NULL)
+    snprintf(source, sizeof source, "%s:%u", kv_source->ip, kv_source->port);
+  mt_dialect_fields_t fields = {.instance = engine->name,
+                                .workspace =
+                                    workspace_name(g, fx->u.start.workspace),
+                                .deadline_ms = fx->u.start.deadline_ms,
+                                .last_event = fx->u.start.last_event,
+                                .source = source[0] != '\0' ? source : NULL};
   out->n = 0;
-  mt_text_add(out, method.p, method.n);
-  mt_text_add(out, " ", 1);
-  mt_text_add(out, target.p, target.n);
-  mt_text_add(out, " HTTP/1.1\r\n", 11);
-  g->dialect->write_request(mt_http_exchange_headers(x), &sent, out);
+  mt_strbuf_append(out, method.p, method.n);
+  mt_strbuf_append(out, " ", 1);
+  mt_strbuf_append(out, target.p, target.n);
+  mt_strbuf_append(out, " HTTP/1.1\r\n", 11);
+  g->dialect->write_request(mt_http_exchange_headers(x), &fields, out);
   if (body.n > 0 || !mt_bytes_equal_nocase(method, "GET"))
-    mt_text_format(out, "Content-Length: %zu\r\n", body.n);
-  mt_text_add(out, "\r\n", 2);
+    mt_strbuf_format(out, "Content-Length: %zu\r\n", body.n);
+  mt_strbuf_append(out, "\r\n", 2);
 }
 
 /*
-** Where turns of the loop are long a caller's close waits behind its request,
-** in the same turn's list or in the next one's. The last look is right before
-** the send: work for callers that have left keeps engines from others.
+** When loop iterations are long a caller's close is queued behind its
+** request, in the same iteration or the next. So the connection is checked
+** once more right before sending: requests of callers that have disconnected
+** would take engine time from others.
 */
-static void do_start (mt_gateway_t *g, passage_t *p,
+static void do_start (mt_gateway_t *g, inflight_t *p,
                       const mt_relay_effect_t *fx) {
   if (!mt_http_exchange_check_connected(p->exchange)) return;
   mt_engine_t *engine =
       mt_engines_get(&g->relay->engines, fx->u.start.engine);
-  if (p->attempt != NULL) p->attempt->passage = NULL; /* it ends by itself */
+  if (p->attempt != NULL)
+    p->attempt->inflight = NULL; /* that call ends by itself */
   attempt_t *a = mtV_new(sizeof *a);
   a->gateway = g;
-  a->passage = p;
+  a->inflight = p;
   a->number = fx->attempt;
   a->engine = engine->key;
   a->started_at = engine->started_at;
@@ -157,19 +165,19 @@
   a->call = mt_http_client_call(
       g->engines, &endpoint, (mt_bytes_t){g->scratch.p, g->scratch.n},
       mt_http_exchange_body(p->exchange), fx->u.start.rested_ms, a);
-  if (mt_http_call_is_sent(a->call)) tell_sent(a);
-  if (r != NULL) mt_gateway_peers_placed(g->peers, r);
+  if (mt_http_call_is_sent(a->call)) notify_sent(a);
+  if (r != NULL) mt_gateway_peers_request_sent(g->peers, r);
 }
 
 static void do_ask (mt_gateway_t *g, const mt_relay_effect_t *fx) {
   const mt_relay_request_t *r = mtV_get(&g->relay->requests, fx->request);
-  if (r != NULL) mt_gateway_peers_ask(g->peers, r);
+  if (r != NULL) mt_gateway_peers_request_quotes(g->peers, r);
 }
 
-static void do_data (passage_t *p, const mt_relay_effect_t *fx) {
+static void do_data (inflight_t *p, const mt_relay_effect_t *fx) {
   mt_http_exchange_data(p->exchange, fx->u.data.p, fx->u.data.n);
   if (p->attempt != NULL &&
-      mt_http_exchange_backlog(p->exchange) > BACKLOG_MAX)
+      mt_http_exchange_backlog(p->exchange) > BACKLOG_MAX_BYTES)
     mt_http_call_pause(p->attempt->call, true);
 }
 
@@ -186,24 +194,24 @@
     return;
   }
   if (fx->kind == MT_RELAY_DO_GIVE_BACK) {
-    mt_gateway_peers_give_back(g->peers, fx->u.place);
+    mt_gateway_peers_return_permit(g->peers, fx->u.place);
     return;
   }
   if (fx->kind == MT_RELAY_DO_TELL) {
-    mt_gateway_peers_say(g->peers, &fx->u.word);
+    mt_gateway_peers_send_suspect_message(g->peers, &fx->u.word);
     return;
   }
-  passage_t *p = mtV_get(&g->passages, fx->request);
+  inflight_t *p = mtV_get(&g->inflight_by_number, fx->request);
   if (p == NULL) return;
   switch (fx->kind) {
     case MT_RELAY_DO_REFUSE: do_refuse(g, p, fx); break;
     case MT_RELAY_DO_ASK: do_ask(g, fx); break;
     case MT_RELAY_DO_START: do_start(g, p, fx); break;
-    case MT_RELAY_DO_CANCEL: end_attempt(p); break;
+    case MT_RELAY_DO_CANCEL: abandon_attempt(p); break;
     case MT_RELAY_DO_HEAD:
       mt_http_exchange_head(p->exchange, p->status, p->head.p, p->head.n,
                             fx->u.length);
-      p->head_kept = true;
+      p->head_sent = true;
       break;
     case MT_RELAY_DO_DATA: do_data(p, fx); break;
     case MT_RELAY_DO_END:
@@ -216,14 +224,15 @@
       break;
     case MT_RELAY_DO_PROBE:
     case MT_RELAY_DO_GIVE_BACK:
-    case MT_RELAY_DO_TELL: break; /* of no request */
+    case MT_RELAY_DO_TELL: break; /* not for a request: handled above */
   }
 }
 
 /*
-** Effects are taken in order. Only four events nest: GONE_OUT has no effects,
-** and those of QUOTED, TRIED and CALLER_LEFT are of the one request that was
-** asked about or was to be sent.
+** Effects are carried out in order, and some of them cause another event at
+** once, which is handled in a nested call. Only four events nest: GONE_OUT
+** has no effects, and those of QUOTED, TRIED and CALLER_LEFT concern only
+** the request whose effect is being carried out.
 */
 void mt_gateway_step (mt_gateway_t *g, mt_relay_event_t *event) {
   mt_relay_effects_t effects = {0};
@@ -243,7 +252,7 @@
   mt_gateway_step(ud, &event);
 }
 
-static void on_tried (void *ud, const mt_suspect_message_t *word,
+static void on_trial (void *ud, const mt_suspect_message_t *word,
                       mt_trial_verdict_t verdict) {
   mt_relay_event_t event = {.kind = MT_RELAY_TRIED, .request = word->request};
   event.u.tried.word = word;
@@ -262,12 +271,12 @@
 
 /* {== Callers ========================================================== */
 
-/* A request has come: the next tick is near, however long it was to be. */
-static void hurry (mt_gateway_t *g) {
-  g->busy = mt_boot_clock_now(g->loop);
-  if (g->pace == MT_TICK_BUSY_MS) return;
-  g->pace = MT_TICK_BUSY_MS;
-  g->ticked = g->busy;
+/* A request has arrived: the next tick comes after the short interval. */
+static void tick_soon (mt_gateway_t *g) {
+  g->last_busy = mt_boot_clock_now(g->loop);
+  if (g->tick_ms == MT_TICK_BUSY_MS) return;
+  g->tick_ms = MT_TICK_BUSY_MS;
+  g->last_tick = g->last_busy;
   uv_timer_start(&g->tick, on_tick, MT_TICK_BUSY_MS, MT_TICK_BUSY_MS);
 }
 
@@ -279,15 +288,15 @@
 
 static void on_request (void *ud, mt_http_exchange_t *x) {
   mt_gateway_t *g = ud;
-  hurry(g);
+  tick_soon(g);
   const mt_http_headers_t *headers = mt_http_exchange_headers(x);
   mt_relay_ask_t ask = {.deadline_ms = -1, .last_event = -1};
-  passage_t *p = mtV_new(sizeof *p);
+  inflight_t *p = mtV_new(sizeof *p);
   p->gateway = g;
   p->number = ++g->next_number;
   p->exchange = x;
   mt_http_exchange_set_user(x, p);
-  mtV_put(&g->passages, p->number, p);
+  mtV_put(&g->inflight_by_number, p->number, p);
   ask.host = mt_http_headers_find(headers, "host");
   ask.path = path_of(mt_http_exchange_target(x));
   const mt_request_text_t text = {mt_http_exchange_method(x), ask.host,
@@ -302,17 +311,17 @@
 
 static void on_caller_gone (void *ud, mt_http_exchange_t *x) {
   mt_gateway_t *g = ud;
-  passage_t *p = mt_http_exchange_user(x);
+  inflight_t *p = mt_http_exchange_user(x);
   if (p == NULL) return;
   mt_relay_event_t event = {.kind = MT_RELAY_CALLER_LEFT,
                             .request = p->number};
   mt_gateway_step(g, &event);
-  end_attempt(p);
+  abandon_attempt(p);
   release(g, p);
 }
 
 static void on_caller_drained (void *ud, mt_http_exchange_t *x) {
-  passage_t *p = mt_http_exchange_user(x);
+  inflight_t *p = mt_http_exchange_user(x);
   if (p != NULL && p->attempt != NULL)
     mt_http_call_pause(p->attempt->call, false);
 }
@@ -321,49 +330,49 @@
 
 /* {== Engines ========================================================== */
 
-/* Keeps an answer's own header fields, for passing them on. */
-static void keep_head (passage_t *p, int status,
+/* Saves an answer's status and end-to-end header fields for the caller. */
+static void save_head (inflight_t *p, int status,
                        const mt_http_headers_t *headers) {
-  if (p->head_kept) return;
+  if (p->head_sent) return;
   p->status = status;
   p->head.n = 0;
   for (size_t i = 0; i < headers->count; i++) {
     if (mt_http_headers_is_hop_by_hop(headers, i)) continue;
     mt_bytes_t name = mt_http_headers_name_at(headers, i);
     mt_bytes_t value = mt_http_headers_value_at(headers, i);
-    mt_text_add(&p->head, name.p, name.n);
-    mt_text_add(&p->head, ": ", 2);
-    mt_text_add(&p->head, value.p, value.n);
-    mt_text_add(&p->head, "\r\n", 2);
+    mt_strbuf_append(&p->head, name.p, name.n);
+    mt_strbuf_append(&p->head, ": ", 2);
+    mt_strbuf_append(&p->head, value.p, value.n);
+    mt_strbuf_append(&p->head, "\r\n", 2);
   }
 }
 
-static void tell_sent (attempt_t *a) {
-  if (a->passage == NULL) return;
+static void notify_sent (attempt_t *a) {
+  if (a->inflight == NULL) return;
   mt_relay_event_t event = {.kind = MT_RELAY_GONE_OUT,
-                            .request = a->passage->number,
+                            .request = a->inflight->number,
                             .attempt = a->number};
   mt_gateway_step(a->gateway, &event);
 }
 
 static void on_sent (void *ud, mt_http_call_t *call) {
-  tell_sent(ud);
+  notify_sent(ud);
 }
 
 static bool on_head (void *ud, mt_http_call_t *call, int status,
                      const mt_http_headers_t *headers) {
   attempt_t *a = ud;
   mt_gateway_t *g = a->gateway;
-  mt_gateway_take_notice(g, a->engine, a->started_at, status, headers);
-  if (!g->dialect->belongs(headers, (mt_bytes_t){a->id, strlen(a->id)}))
+  mt_gateway_apply_notice(g, a->engine, a->started_at, status, headers);
+  if (!g->dialect->matches(headers, (mt_bytes_t){a->id, strlen(a->id)}))
     return false;
-  passage_t *p = a->passage;
+  inflight_t *p = a->inflight;
   if (p == NULL) return true;
-  keep_head(p, status, headers);
+  save_head(p, status, headers);
   mt_relay_event_t event = {
       .kind = MT_RELAY_HEAD, .request = p->number, .attempt = a->number};
   event.u.head.status = status;
-  event.u.head.verdict = g->dialect->judge(status, headers);
+  event.u.head.verdict = g->dialect->classify(status, headers);
   mt_bytes_t type = mt_http_headers_find(headers, "content-type");
   event.u.head.events =
       type.n >= 17 && strncasecmp(type.p, "text/event-stream", 17) == 0;
@@ -375,23 +384,23 @@
 static void on_data (void *ud, mt_http_call_t *call, const char *bytes,
                      size_t n) {
   attempt_t *a = ud;
-  if (a->passage == NULL) return;
+  if (a->inflight == NULL) return;
   mt_relay_event_t event = {.kind = MT_RELAY_DATA,
-                            .request = a->passage->number,
+                            .request = a->inflight->number,
                             .attempt = a->number};
   event.u.data = (mt_bytes_t){bytes, n};
   mt_gateway_step(a->gateway, &event);
 }
 
-/* The call is over: nothing refers to the attempt any more. */
-static void forget_attempt (attempt_t *a) {
-  if (a->passage != NULL) a->passage->attempt = NULL;
+/* The call is over: its request no longer refers to the attempt. */
+static void detach_attempt (attempt_t *a) {
+  if (a->inflight != NULL) a->inflight->attempt = NULL;
 }
 
 static void on_end (void *ud, mt_http_call_t *call) {
   attempt_t *a = ud;
-  passage_t *p = a->passage;
-  forget_attempt(a);
+  inflight_t *p = a->inflight;
+  detach_attempt(a);
   if (p != NULL) {
     mt_relay_event_t event = {
         .kind = MT_RELAY_END, .request = p->number, .attempt = a->number};
@@ -403,8 +412,8 @@
 static void on_failed (void *ud, mt_http_call_t *call,
                        mt_http_failure_t why) {
   attempt_t *a = ud;
-  passage_t *p = a->passage;
-  forget_attempt(a);
+  inflight_t *p = a->inflight;
+  detach_attempt(a);
   if (p != NULL) {
     mt_relay_event_t event = {
         .kind = MT_RELAY_FAILED, .request = p->number, .attempt = a->number};
@@ -444,13 +453,13 @@
          g->relay->engines.count > 0;
 }
 
-static void on_ready_asked (void *ud, mt_http_exchange_t *x) {
+static void on_ready_request (void *ud, mt_http_exchange_t *x) {
   mt_gateway_t *g = ud;
   mt_http_exchange_head(x, is_ready(g) ? 200 : 503, "", 0, 0);
   mt_http_exchange_end(x);
 }
 
-static void answer_text (mt_gateway_t *g, mt_http_exchange_t *x, int status) {
+static void send_text (mt_gateway_t *g, mt_http_exchange_t *x, int status) {
   static const char type[] = "Content-Type: text/plain; version=0.0.4\r\n";
   mt_http_exchange_head(x, status, type, sizeof type - 1,
                         (int64_t)g->scratch.n);
@@ -458,24 +467,25 @@
   mt_http_exchange_end(x);
 }
 
-/* Operators see the list (GET) or clear one (DELETE), here and everywhere. */
-static void on_suspects_asked (mt_gateway_t *g, mt_http_exchange_t *x) {
+/* Operators list the suspects (GET) or clear one (DELETE) at all routers: it
+   is reported to its owner as answered. */
+static void on_suspects_request (mt_gateway_t *g, mt_http_exchange_t *x) {
   uint64_t digest = mt_suspects_page_digest(mt_http_exchange_target(x));
   bool clears = mt_bytes_equal_nocase(mt_http_exchange_method(x), "DELETE");
   bool known = mt_suspects_get(&g->relay->suspects, digest) != NULL;
   const mt_suspect_message_t word = {.kind = MT_SUSPECT_MESSAGE_ANSWERED,
                                      .digest = digest};
-  if (clears && known) mt_gateway_peers_say(g->peers, &word);
+  if (clears && known) mt_gateway_peers_send_suspect_message(g->peers, &word);
   mt_suspects_page_list(&g->relay->suspects, mt_boot_clock_now(g->loop),
                         &g->scratch);
-  answer_text(g, x, clears && !known ? 404 : 200);
+  send_text(g, x, clears && !known ? 404 : 200);
 }
 
-static void on_metrics_asked (void *ud, mt_http_exchange_t *x) {
+static void on_metrics_request (void *ud, mt_http_exchange_t *x) {
   mt_gateway_t *g = ud;
   g->scratch.n = 0;
-  if (mt_suspects_page_is_at(mt_http_exchange_target(x))) {
-    on_suspects_asked(g, x);
+  if (mt_suspects_page_matches(mt_http_exchange_target(x))) {
+    on_suspects_request(g, x);
     return;
   }
   const mt_gateway_metrics_t from = {
@@ -485,14 +495,14 @@
       .overload = &g->overload,
       .log = g->log,
       .traffic = mt_gateway_peers_traffic(g->peers),
-      .news = mt_gateway_peers_news(g->peers),
+      .updates = mt_gateway_peers_updates(g->peers),
       .source_events = g->source_events,
-      .addresses_refused = mt_gateway_peers_refused(g->peers)};
+      .addresses_refused = mt_gateway_peers_addresses_refused(g->peers)};
   mt_gateway_metrics(&from, &g->scratch);
-  answer_text(g, x, 200);
+  send_text(g, x, 200);
 }
 
-static void on_nothing (void *ud, mt_http_exchange_t *x) {
+static void ignore_event (void *ud, mt_http_exchange_t *x) {
 }
 
 static void finish (mt_gateway_t *g, const char *why) {
@@ -502,25 +512,27 @@
   uv_stop(g->loop);
 }
 
-/* A stop goes in steps: out of the balancer, idle connections, the end. */
-static void go_on_stopping (mt_gateway_t *g) {
+/* Stops in steps: not ready, so load balancers remove it; then closes idle
+   connections; exits when none is left or the grace is nearly over. */
+static void continue_stop (mt_gateway_t *g) {
   mt_ms_t since = mt_boot_clock_now(g->loop) - g->stopping;
-  if (since > LEAVE_MS) {
+  if (since > BALANCER_REMOVAL_MS) {
     mt_http_server_close_idle(g->callers);
     if (mt_http_server_connections(g->callers) == 0) {
       finish(g, "finished");
       return;
     }
   }
-  if (since + LAST_MS > g->settings.grace) finish(g, "out-of-time");
+  if (since + FLUSH_RESERVE_MS > g->settings.grace) finish(g, "out-of-time");
 }
 
-/* Whoever cannot keep up sends its callers elsewhere until it can. */
-static void judge_load (mt_gateway_t *g) {
+/* While overloaded the gateway is not ready and each answer closes its
+   connection, so that callers connect to other gateways. */
+static void check_overload (mt_gateway_t *g) {
   mt_ms_t now = mt_boot_clock_now(g->loop);
-  mt_ms_t took = g->ticked ? now - g->ticked : g->pace;
-  g->ticked = now;
-  bool changed = mt_overload_update(&g->overload, took, g->pace);
+  mt_ms_t elapsed = g->last_tick ? now - g->last_tick : g->tick_ms;
+  g->last_tick = now;
+  bool changed = mt_overload_update(&g->overload, elapsed, g->tick_ms);
   g->relay->overloaded = g->overload.severe;
   if (!changed) return;
   bool overloaded = g->overload.overloaded;
@@ -532,34 +544,35 @@
               overloaded ? "begun" : "over");
 }
 
-/* All that was believed is as much older. */
-static void note_sleep (mt_gateway_t *g) {
+/* Logs that the machine was suspended. The clock includes that time, so all
+   that expires is as much older. */
+static void log_suspend (mt_gateway_t *g) {
   mt_ms_t now = mt_boot_clock_now(g->loop);
-  mt_ms_t slept = mt_boot_clock_suspended(g->loop) - g->asleep;
-  g->asleep += slept;
+  mt_ms_t slept = mt_boot_clock_suspended(g->loop) - g->suspended_ms;
+  g->suspended_ms += slept;
   if (slept > 0)
     mt_log_line(g->log, MT_LOG_STATE, now, "suspended",
                 "slept=%llu requests=%zu outcome=woke",
                 (unsigned long long)slept, g->relay->count);
 }
 
-/* When the next tick comes. */
-static void set_pace (mt_gateway_t *g) {
+/* Sets the tick interval for the current activity. */
+static void set_tick_interval (mt_gateway_t *g) {
   mt_ms_t now = mt_boot_clock_now(g->loop);
-  if (g->relay->count > 0) g->busy = now;
+  if (g->relay->count > 0) g->last_busy = now;
   const mt_tick_state_t view = {.uptime = now - g->started,
-                                .idle_time = now - g->busy,
+                                .idle_time = now - g->last_busy,
                                 .stopping = g->stopping != 0};
-  mt_ms_t pace = mt_tick_interval(&view);
-  if (pace == g->pace) return;
-  g->pace = pace;
-  uv_timer_start(&g->tick, on_tick, pace, pace);
+  mt_ms_t tick_ms = mt_tick_interval(&view);
+  if (tick_ms == g->tick_ms) return;
+  g->tick_ms = tick_ms;
+  uv_timer_start(&g->tick, on_tick, tick_ms, tick_ms);
 }
 
 static void on_tick (uv_timer_t *timer) {
   mt_gateway_t *g = timer->data;
-  note_sleep(g);
-  judge_load(g);
+  log_suspend(g);
+  check_overload(g);
   mt_gateway_peers_read(g->peers);
   mt_relay_event_t event = {.kind = MT_RELAY_TICK};
   mt_gateway_step(g, &event);
@@ -567,8 +580,8 @@
   mt_http_client_tick(g->engines);
   mt_http_server_tick(g->callers);
   mt_log_writer_flush(g->log);
-  set_pace(g);
-  if (g->stopping != 0) go_on_stopping(g);
+  set_tick_interval(g);
+  if (g->stopping != 0) continue_stop(g);
 }
 
 /* }== */
@@ -580,9 +593,13 @@
     .gone = on_caller_gone,
     .drained = on_caller_drained};
 static const mt_http_server_handler_t ready_handler = {
-    .request = on_ready_asked, .gone = on_nothing, .drained = on_nothing};
+    .request = on_ready_request,
+    .gone = ignore_event,
+    .drained = ignore_event};
 static const mt_http_server_handler_t metrics_handler = {
-    .request = on_metrics_asked, .gone = on_nothing, .drained = on_nothing};
+    .request = on_metrics_request,
+    .gone = ignore_event,
+    .drained = ignore_event};
 
 static void on_request_outcome (void *ud, const mt_relay_request_t *r,
                                 const char *outcome, const char *why) {
@@ -605,7 +622,7 @@
   const mt_http_client_options_t options = {
       .connect_ms = CONNECT_MS,
       .idle_ms = IDLE_MS,
-      .connections = (size_t)(ENGINES_PART * descriptors),
+      .connections = (size_t)(ENGINE_FD_FRACTION * descriptors),
       .user_timeout = USER_TIMEOUT_MS};
   mt_gateway_t *g = mtV_new(sizeof *g);
   g->loop = loop;
@@ -613,7 +630,7 @@
   g->dialect = dialect;
   g->started = mt_boot_clock_now(loop);
   g->log = mt_log_writer_open(STDOUT_FILENO, settings->node,
-                              settings->lines_per_s);
+                              settings->log_lines_per_s);
   g->relay = mt_relay_new(settings->domain, &settings->terms);
   g->relay->log = on_request_outcome;
   g->relay->log_engine = mt_gateway_engine_gone;
@@ -622,20 +639,21 @@
   g->callers =
       listen_on(g, &settings->callers, &caller_handler, reason, size);
   if (g->callers == NULL) return NULL;
-  mt_http_server_set_max_connections(g->callers,
-                                     (size_t)(CALLERS_PART * descriptors));
+  mt_http_server_set_max_connections(
+      g->callers, (size_t)(CALLER_FD_FRACTION * descriptors));
   g->ready = listen_on(g, &settings->ready, &ready_handler, reason, size);
   if (g->ready == NULL) return NULL;
   g->metrics =
       listen_on(g, &settings->metrics, &metrics_handler, reason, size);
   if (g->metrics == NULL) return NULL;
-  const mt_gateway_peers_calls_t calls = {on_quoted, mt_gateway_take_change,
-                                          on_tried,
-                                          mt_gateway_take_peer_drain, g};
-  g->peers = mt_gateway_peers_open(loop, settings, g->relay, g->log, &calls);
+  const mt_gateway_peers_callbacks_t callbacks = {
+      on_quoted, mt_gateway_apply_change, on_trial,
+      mt_gateway_apply_peer_drain, g};
+  g->peers =
+      mt_gateway_peers_open(loop, settings, g->relay, g->log, &callbacks);
   uv_timer_init(loop, &g->tick);
   g->tick.data = g;
-  g->pace = MT_TICK_BUSY_MS;
+  g->tick_ms = MT_TICK_BUSY_MS;
   uv_timer_start(&g->tick, on_tick, MT_TICK_BUSY_MS, MT_TICK_BUSY_MS);
   mt_log_line(g->log, MT_LOG_STATE, g->started, "start",
               "domain=%s callers=%s:%u ready=%s:%u metrics=%s:%u peers=%s:%u "
@@ -652,7 +670,7 @@
   if (g->stopping != 0) return;
   g->stopping = mt_boot_clock_now(g->loop);
   mt_relay_event_t event = {.kind = MT_RELAY_STOP};
-  event.u.stop_ms = g->settings.grace - LAST_MS;
+  event.u.stop_ms = g->settings.grace - FLUSH_RESERVE_MS;
   mt_gateway_step(g, &event);
   mt_http_server_drain(g->callers, true);
   mt_log_line(g->log, MT_LOG_STATE, g->stopping, "stopping",
@@ -667,7 +685,7 @@
   return g->relay;
 }
 
-/* The process ends: sockets go with it, memory is given back for checkers. */
+/* The process exits next; memory is freed for leak checkers. */
 void mt_gateway_close (mt_gateway_t *g) {
   uv_close((uv_handle_t *)&g->tick, NULL);
   mt_gateway_peers_close(g->peers);
@@ -676,16 +694,16 @@
   mt_http_server_close(g->callers);
   mt_http_client_close(g->engines);
   uv_run(g->loop, UV_RUN_NOWAIT);
-  mtV_each (&g->passages, i) {
-    passage_t *p = g->passages.vals[i];
+  mtV_each (&g->inflight_by_number, i) {
+    inflight_t *p = g->inflight_by_number.vals[i];
     if (p->attempt) free(p->attempt);
-    mt_text_free(&p->head);
+    mt_strbuf_free(&p->head);
     free(p);
   }
-  mtV_free(&g->passages);
+  mtV_free(&g->inflight_by_number);
   mt_relay_free(g->relay);
   mt_log_writer_close(g->log);
-  mt_text_free(&g->scratch);
+  mt_strbuf_free(&g->scratch);
   free(g);
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,10 +1,11 @@
 /*
-** gateway.h - connections around the relay: callers, engines, readiness,
-** metrics
+** gateway.h - the gateway process: listeners for callers, readiness and
+** metrics, connections to engines and to other routers
 **
-** The gateway turns what happens on sockets into the relay's events and the
-** relay's effects into bytes. Where declarations and engines come from is the
-** business of whoever opens it.
+** The gateway turns socket activity into events of the relay (relay.h), which
+** makes the decisions, and carries out the relay's effects. Configuration and
+** the list of engines come from the configuration source, a store with
+** revisions; its client (platform/) calls the functions below.
 */
 #ifndef gateway_h
 #define gateway_h
@@ -24,104 +25,121 @@
 
 typedef struct mt_gateway_settings_t {
   mt_name_t node, domain;
-  mt_addr_t callers, ready, metrics, peers;
-  mt_addr_t seeds[MT_MAX_SEEDS]; /* routers to begin with; port of `peers` */
+  mt_addr_t callers, ready, metrics, peers; /* to listen on; peers: UDP */
+  mt_addr_t seeds[MT_MAX_SEEDS]; /* routers to contact first, at the port of
+                                    `peers` */
   size_t seeds_count;
-  mt_ms_t grace; /* from the order to stop until the process is killed */
-  int lines_per_s;
-  size_t descriptors; /* that the process may open */
-  mt_relay_terms_t terms;
+  mt_ms_t grace;       /* from the stop signal until the process is killed */
+  int log_lines_per_s; /* log lines a second, of each priority */
+  size_t descriptors;  /* file descriptors that the process may open */
+  mt_relay_terms_t terms; /* parameters of the relay's decisions */
 } mt_gateway_settings_t;
 
-/* An engine as its listing says. */
+/* An engine as it is registered at the source. */
 typedef struct mt_gateway_engine_t {
   const char *name, *domain, *ip;
   uint16_t port;
   const char *service;
-  int slots;
+  int slots; /* requests that it runs at a time */
   bool draining;
-  int64_t started_at; /* ms of the time of day when it started; 0: not told */
-  mt_ms_t cold;       /* for so long from when it was listed; 0: it is warm */
+  int64_t started_at; /* start time, ms since the epoch; 0: unknown */
+  mt_ms_t cold; /* time that it stays cold, with a limited request rate; 0:
+                   warm */
 } mt_gateway_engine_t;
 
-/* NULL and a reason when it cannot listen. */
+/* Opens the listeners and starts the tick timer; NULL and a reason when it
+   cannot listen. */
 mt_gateway_t *mt_gateway_open (uv_loop_t *loop,
                                const mt_gateway_settings_t *settings,
                                const mt_dialect_t *dialect, char *reason,
                                size_t size);
 
 /*
-** What the source itself says, with the revision at which it took that. Where
-** a later word is known the earlier one changes nothing. Others are told.
+** Changes read from the source, each with the revision at which the source
+** took it. A change that is older than what is known of the same subject is
+** ignored. Changes are passed on to the other routers.
 */
-/* Takes a newer version of the declarations, which it then owns. */
-void mt_gateway_declare (mt_gateway_t *gateway, mt_catalog_t *catalog,
-                         mt_revision_t rev);
+/* Puts a new version of the configuration into force and takes ownership of
+   it. */
+void mt_gateway_set_catalog (mt_gateway_t *gateway, mt_catalog_t *catalog,
+                             mt_revision_t rev);
 
-/* The declarations cannot be read, for that reason: those in force stay. */
-void mt_gateway_unreadable (mt_gateway_t *gateway, const char *reason);
+/* Logs that a new configuration is invalid; the one in force stays. */
+void mt_gateway_catalog_invalid (mt_gateway_t *gateway, const char *reason);
 
-/* Takes what a listing says of an engine; NULL engine: it is gone. */
-void mt_gateway_engine (mt_gateway_t *gateway, const char *name,
-                        const mt_gateway_engine_t *engine, mt_revision_t rev);
+/* Adds or updates an engine; NULL engine: it was removed. */
+void mt_gateway_set_engine (mt_gateway_t *gateway, const char *name,
+                            const mt_gateway_engine_t *engine,
+                            mt_revision_t rev);
 
 /*
-** The source was restored from a copy. A grace follows, in which its writers
-** write again what the copy lacks: meanwhile lists end nothing by what they
-** lack, and undo no end of an earlier era.
+** The source was restored from a backup. For a grace period, in which its
+** writers repeat what the backup lacks, an engine that is missing from a list
+** is not removed, and an entry does not undo a drain or removal that is known
+** from before the restore.
 */
-void mt_gateway_restored (mt_gateway_t *gateway);
-/* True in that grace. */
+void mt_gateway_source_restored (mt_gateway_t *gateway);
+/* True in that grace period. */
 bool mt_gateway_in_restore_grace (const mt_gateway_t *gateway);
 
-/* All engines were listed; `seen` holds the keys of their names. Any other is
-   gone. */
-void mt_gateway_listed (mt_gateway_t *gateway, const mt_map_t *seen,
-                        mt_revision_t rev);
+/* A list of all engines was read; `seen` holds the keys of their names.
+   Others are removed, except in the grace period after a restore. */
+void mt_gateway_engines_listed (mt_gateway_t *gateway, const mt_map_t *seen,
+                                mt_revision_t rev);
 
-/* The operators empty a failure domain of work, or use it again. */
+/* Operators evacuated a failure domain (no new requests to its engines), or
+   ended that. */
 void mt_gateway_evacuate (mt_gateway_t *gateway, const char *domain, bool on,
                           mt_revision_t rev);
 
-/* Whether newer declarations may exist that cannot be seen from here. */
-void mt_gateway_set_unsure (mt_gateway_t *gateway, bool unsure);
+/* Sets whether a newer configuration may exist that cannot be read here. */
+void mt_gateway_set_config_maybe_stale (mt_gateway_t *gateway, bool stale);
 
 /*
-** The source of declarations, as this router and the others see it: what is
-** known of a feed; what the source said of it just now; whether it answers
-** here; whether this router is to watch it, and whether others rely on that.
+** Feeds: the ranges of the source's keys that routers follow (feed_state.h).
 */
+/* What this router and others know of a feed. */
 mt_peer_feed_t mt_gateway_feed (const mt_gateway_t *gateway,
                                 mt_feed_kind_t kind);
+/* The source was read up to revision `at`; the feed's last change then was
+   `newest`. */
 void mt_gateway_set_feed (mt_gateway_t *gateway, mt_feed_kind_t kind,
                           mt_revision_t newest, mt_revision_t at,
                           mt_feed_reading_t reading);
-/* Up to which revision all changes of a feed are known here. */
-mt_revision_t mt_gateway_taken (const mt_gateway_t *gateway,
-                                mt_feed_kind_t kind);
-/* The same, but for engines that have come and that only the source tells. */
-mt_revision_t mt_gateway_told (const mt_gateway_t *gateway,
-                               mt_feed_kind_t kind);
-void mt_gateway_set_source (mt_gateway_t *gateway, bool reachable);
-bool mt_gateway_watches (const mt_gateway_t *gateway);
-bool mt_gateway_leads (const mt_gateway_t *gateway);
-
-/* What becomes of calls to the source, counted. */
+/* The revision up to which all changes of a feed are applied here. */
+mt_revision_t mt_gateway_applied_rev (const mt_gateway_t *gateway,
+                                      mt_feed_kind_t kind);
+/* The revision up to which all changes were received, from the source or from
+   routers. New engines, which are only added as the source lists them, may
+   not be applied yet. */
+mt_revision_t mt_gateway_received_rev (const mt_gateway_t *gateway,
+                                       mt_feed_kind_t kind);
+/* Sets whether this router reaches the source. */
+void mt_gateway_set_source_reachable (mt_gateway_t *gateway, bool reachable);
+/* Whether this router has to watch the source, and whether it does so for the
+   other routers of its failure domain, too. */
+bool mt_gateway_watches_source (const mt_gateway_t *gateway);
+bool mt_gateway_watches_for_domain (const mt_gateway_t *gateway);
+
+/* Outcomes of calls to the source, as counted in metrics. */
 typedef enum mt_source_event_t {
   MT_SOURCE_LISTED,       /* a whole range was read */
-  MT_SOURCE_HISTORY_GONE, /* it no longer has the changes behind a revision */
-  MT_SOURCE_RESTORED,     /* it came back from a copy */
+  MT_SOURCE_HISTORY_GONE, /* it no longer has the changes after a revision */
+  MT_SOURCE_RESTORED,     /* it was restored from a backup */
   MT_SOURCE_EVENTS
 } mt_source_event_t;
 
-void mt_gateway_count_source (mt_gateway_t *gateway, mt_source_event_t event);
+void mt_gateway_count_source_event (mt_gateway_t *gateway,
+                                    mt_source_event_t event);
 
-/* Takes no role any more, finishes what is at hand, then stops the loop. */
+/* Reports not ready, finishes the requests in progress, then stops the loop;
+   at the latest when `grace` is nearly over. */
 void mt_gateway_stop (mt_gateway_t *gateway);
 
 mt_log_writer_t *mt_gateway_log (mt_gateway_t *gateway);
 mt_relay_t *mt_gateway_relay (mt_gateway_t *gateway);
 
+/* Closes all sockets and frees the gateway. */
 void mt_gateway_close (mt_gateway_t *gateway);
 
 #endif
--- a/src/gateway/gateway_feeds.c
+++ b/src/gateway/gateway_feeds.c
@@ -1,6 +1,6 @@
 /*
-** gateway_feeds.c - declarations and engines, as their source or another
-** router tells of them
+** gateway_feeds.c - changes of configuration and engines, from the source or
+** from other routers
 */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,120 +11,126 @@
 #include "gateway_state.h"
 #include "mtcrypt.h"
 
-/* Writers that reach the source have written again by then. */
+/* By then all writers that reach the source have repeated their entries. */
 #define RESTORE_GRACE_MS 2500
 
-void mt_gateway_restored (mt_gateway_t *g) {
-  g->restored = mt_boot_clock_now(g->loop);
+void mt_gateway_source_restored (mt_gateway_t *g) {
+  g->restored_at = mt_boot_clock_now(g->loop);
 }
 
 bool mt_gateway_in_restore_grace (const mt_gateway_t *g) {
   mt_ms_t now = mt_boot_clock_now(g->loop);
-  return g->restored != 0 && now < g->restored + RESTORE_GRACE_MS;
+  return g->restored_at != 0 && now < g->restored_at + RESTORE_GRACE_MS;
 }
 
-/* {== Declarations ===================================================== */
+/* {== Configuration ==================================================== */
 
-/* What begins is told only while it is little; a large change of routes would
-   drive everything else from the log. */
-#define BEGINS_MOST 64
+/* Added keys and routes that are announced for one version. The change log is
+   bounded: a large change of routes would push out everything else. */
+#define ADDITIONS_MAX 64
 
-/* A newer version, while others are told how it differs. */
-typedef struct declaring_t {
+/* A new version of the configuration, while the other routers are sent how it
+   differs from the previous one. */
+typedef struct announcement_t {
   mt_gateway_t *gateway;
   mt_revision_t rev;
-  int begins;     /* told of things that begin */
-  bool ends_only; /* a later version may have ended what this one begins */
-} declaring_t;
+  int additions;      /* added keys and routes announced so far */
+  bool removals_only; /* after a restore: the version may be an old one */
+} announcement_t;
 
-static void tell_of (declaring_t *d, const mt_change_t *change, bool begins) {
-  if (begins && (d->ends_only || d->begins++ >= BEGINS_MOST)) return;
-  mt_gateway_peers_changed(d->gateway->peers, change);
+static void announce (announcement_t *d, const mt_change_t *change,
+                      bool additions) {
+  if (additions && (d->removals_only || d->additions++ >= ADDITIONS_MAX))
+    return;
+  mt_gateway_peers_source_changed(d->gateway->peers, change);
 }
 
-static void tell_key (void *ud, mt_bytes_t key, bool granted) {
-  declaring_t *d = ud;
+static void announce_key (void *ud, mt_bytes_t key, bool granted) {
+  announcement_t *d = ud;
   char digest[MT_DIGEST_HEX + 1];
   mtH_sha256(key.p, key.n, digest);
   mt_change_t change =
       mt_change_make(granted ? MT_CHANGE_KEY_GRANTED : MT_CHANGE_KEY_REVOKED,
                      digest, d->rev);
-  tell_of(d, &change, granted);
+  announce(d, &change, granted);
 }
 
-static void tell_route (void *ud, mt_id_t route, mt_id_t service,
-                        bool opened) {
-  declaring_t *d = ud;
+static void announce_route (void *ud, mt_id_t route, mt_id_t service,
+                            bool opened) {
+  announcement_t *d = ud;
   mt_change_t change = mt_change_make_route(opened ? MT_CHANGE_ROUTE_ADDED
                                                    : MT_CHANGE_ROUTE_REMOVED,
                                             route, service, d->rev);
-  tell_of(d, &change, opened);
+  announce(d, &change, opened);
 }
 
-/* The change that a version makes of what others told; false: none.
-   `digests`: of its keys. */
-static bool flip (const mt_catalog_t *c, const mt_map_t *digests,
-                  const mt_change_t *told, mt_revision_t rev,
-                  mt_change_t *change) {
-  bool holds = false;
-  *change = *told;
+/* True if the configuration contradicts a change that other routers sent;
+   `change` gets what holds instead. `digests`: of its keys. */
+static bool contradicts (const mt_catalog_t *c, const mt_map_t *digests,
+                         const mt_change_t *received, mt_revision_t rev,
+                         mt_change_t *change) {
+  bool present = false;
+  *change = *received;
   change->rev = rev;
   change->age = 0;
-  switch (mt_change_subject(told->kind)) {
+  switch (mt_change_subject(received->kind)) {
     case MT_SUBJECT_KEY:
-      holds = mtV_get(digests, mt_catalog_digest_key(told->name)) != NULL;
-      change->kind = holds ? MT_CHANGE_KEY_GRANTED : MT_CHANGE_KEY_REVOKED;
+      present =
+          mtV_get(digests, mt_catalog_digest_key(received->name)) != NULL;
+      change->kind = present ? MT_CHANGE_KEY_GRANTED : MT_CHANGE_KEY_REVOKED;
       break;
     case MT_SUBJECT_ROUTE:
-      holds =
-          mt_catalog_routes_to(c, told->u.path.route, told->u.path.service);
-      change->kind = holds ? MT_CHANGE_ROUTE_ADDED : MT_CHANGE_ROUTE_REMOVED;
+      present = mt_catalog_routes_to(c, received->u.path.route,
+                                     received->u.path.service);
+      change->kind =
+          present ? MT_CHANGE_ROUTE_ADDED : MT_CHANGE_ROUTE_REMOVED;
       break;
     default: break;
   }
-  return change->kind != told->kind;
+  return change->kind != received->kind;
 }
 
 /*
-** A router that did not read the versions in between tells what they began
-** and this one ends: it has heard of that. Without this others would let in a
-** key of a version that its reader has skipped.
+** Announces what versions that this router did not read added, as it knows
+** from other routers, and this version removes. Otherwise the others would
+** go on accepting a key that was added in a skipped version.
 */
-static void tell_of_skipped (declaring_t *d, const mt_catalog_t *catalog) {
+static void announce_skipped (announcement_t *d,
+                              const mt_catalog_t *catalog) {
   mt_gateway_t *g = d->gateway;
-  mt_change_t flips[MT_DENIALS_MAX], change;
+  mt_change_t changes[MT_DENIALS_MAX], change;
   mt_map_t digests = {0};
   size_t count = 0;
   const mt_change_log_t *log =
-      mt_gateway_peers_log(g->peers, MT_FEED_DECLARATIONS);
+      mt_gateway_peers_change_log(g->peers, MT_FEED_DECLARATIONS);
   mt_catalog_digests(catalog, &digests);
-  for (size_t i = 0; i < log->slots && count < mt_countof(flips); i++) {
-    const mt_change_t *told = mt_change_log_slot(log, i);
-    if (told != NULL && told->rev < d->rev &&
-        flip(catalog, &digests, told, d->rev, &change))
-      flips[count++] = change;
+  for (size_t i = 0; i < log->slots && count < mt_countof(changes); i++) {
+    const mt_change_t *received = mt_change_log_slot(log, i);
+    if (received != NULL && received->rev < d->rev &&
+        contradicts(catalog, &digests, received, d->rev, &change))
+      changes[count++] = change;
   }
   mtV_free(&digests);
   for (size_t i = 0; i < count; i++)
-    if (!d->ends_only || mt_change_is_withdrawal(flips[i].kind))
-      mt_gateway_peers_changed(g->peers, &flips[i]);
+    if (!d->removals_only || mt_change_is_withdrawal(changes[i].kind))
+      mt_gateway_peers_source_changed(g->peers, &changes[i]);
 }
 
-static void tell_version (mt_gateway_t *g, const mt_catalog_t *catalog,
-                          mt_revision_t rev) {
-  declaring_t declaring = {g, rev, 0, mt_gateway_in_restore_grace(g)};
-  const mt_catalog_diff_callbacks_t calls = {tell_key, tell_route,
-                                             &declaring};
+static void announce_version (mt_gateway_t *g, const mt_catalog_t *catalog,
+                              mt_revision_t rev) {
+  announcement_t announcement = {g, rev, 0, mt_gateway_in_restore_grace(g)};
+  const mt_catalog_diff_callbacks_t callbacks = {announce_key, announce_route,
+                                                 &announcement};
   mt_change_t document = mt_change_make(MT_CHANGE_OTHER, "declarations", rev);
-  mt_gateway_peers_changed(g->peers, &document);
+  mt_gateway_peers_source_changed(g->peers, &document);
   const mt_catalog_t *old = g->relay->catalog;
   if (old == NULL || catalog->version <= old->version) return;
-  mt_catalog_diff(old, catalog, &calls);
-  tell_of_skipped(&declaring, catalog);
+  mt_catalog_diff(old, catalog, &callbacks);
+  announce_skipped(&announcement, catalog);
 }
 
-void mt_gateway_declare (mt_gateway_t *g, mt_catalog_t *catalog,
-                         mt_revision_t rev) {
+void mt_gateway_set_catalog (mt_gateway_t *g, mt_catalog_t *catalog,
+                             mt_revision_t rev) {
   mt_http_server_limits_t limits = {.header_bytes =
                                         catalog->limits.header_bytes,
                                     .body_bytes = catalog->limits.body_bytes,
@@ -133,24 +139,24 @@
   int64_t version = catalog->version;
   size_t routes = catalog->routes_count;
   size_t workspaces = catalog->workspaces_count;
-  tell_version(g, catalog, rev);
-  bool taken = mt_relay_declare(g->relay, catalog);
+  announce_version(g, catalog, rev);
+  bool applied = mt_relay_declare(g->relay, catalog);
   mt_log_line(
       g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop), "configuration",
       "version=%lld routes=%zu workspaces=%zu outcome=%s", (long long)version,
-      routes, workspaces, taken ? "in-force" : "older");
+      routes, workspaces, applied ? "in-force" : "older");
   if (version == g->relay->catalog->version &&
       !mt_gateway_in_restore_grace(g))
     mt_denials_prune(&g->relay->denials, rev);
-  if (taken) mt_http_server_set_limits(g->callers, &limits);
+  if (applied) mt_http_server_set_limits(g->callers, &limits);
 }
 
-void mt_gateway_unreadable (mt_gateway_t *g, const char *reason) {
+void mt_gateway_catalog_invalid (mt_gateway_t *g, const char *reason) {
   mt_log_line(g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop),
               "configuration", "outcome=unreadable why=\"%s\"", reason);
 }
 
-static void empty_domain (mt_gateway_t *g, const char *domain, bool on) {
+static void set_evacuated (mt_gateway_t *g, const char *domain, bool on) {
   if (!mt_relay_evacuate(g->relay, domain, on, mt_boot_clock_now(g->loop)))
     return;
   mt_log_line(g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop), "evacuation",
@@ -162,8 +168,8 @@
   mt_change_t change = mt_change_make(on ? MT_CHANGE_DOMAIN_EVACUATED
                                          : MT_CHANGE_DOMAIN_REINSTATED,
                                       domain, rev);
-  if (mt_gateway_peers_changed(g->peers, &change))
-    empty_domain(g, domain, on);
+  if (mt_gateway_peers_source_changed(g->peers, &change))
+    set_evacuated(g, domain, on);
 }
 
 /* }== */
@@ -189,13 +195,13 @@
   mt_http_client_close_idle(g->engines, e->key);
 }
 
-static void engine_left (mt_gateway_t *g, mt_engine_t *e, mt_ms_t since) {
-  bool told = e->unlisted_since != 0 || e->state == MT_ENGINE_GONE;
+static void remove_engine (mt_gateway_t *g, mt_engine_t *e, mt_ms_t since) {
+  bool known = e->unlisted_since != 0 || e->state == MT_ENGINE_GONE;
   mt_relay_engine_left(g->relay, e, since, mt_boot_clock_now(g->loop));
-  if (!told && e->unlisted_since != 0) log_engine(g, e, "vanished");
+  if (!known && e->unlisted_since != 0) log_engine(g, e, "vanished");
 }
 
-/* Word of an earlier start of the engine, told late. */
+/* True for a late change that is about an earlier start of the engine. */
 static bool is_earlier_start (const mt_engine_t *e,
                               const mt_gateway_engine_t *engine) {
   return engine->started_at != 0 && engine->started_at < e->started_at;
@@ -206,16 +212,17 @@
   return e->started_at != 0 && engine->started_at > e->started_at;
 }
 
-/* `since`: some router heard of it from the source then. */
-static void take_engine (mt_gateway_t *g, const char *name,
-                         const mt_gateway_engine_t *engine, mt_revision_t rev,
-                         mt_ms_t since) {
+/* Adds, updates or (engine NULL) removes an engine. `since`: when a router
+   first read the change from the source. */
+static void apply_engine (mt_gateway_t *g, const char *name,
+                          const mt_gateway_engine_t *engine,
+                          mt_revision_t rev, mt_ms_t since) {
   uint64_t key = mt_engine_key(name, strlen(name));
   mt_engine_t *e = mt_engines_get(&g->relay->engines, key);
   if (engine == NULL) {
     if (e == NULL) return;
     e->rev = mt_max(e->rev, rev);
-    engine_left(g, e, since);
+    remove_engine(g, e, since);
     return;
   }
   bool is_new = e == NULL;
@@ -225,7 +232,7 @@
   if (is_later_start(e, engine)) {
     log_engine(g, e, "restarted");
     mt_gateway_engine_restarted(g, e);
-    is_new = true; /* in all but its name */
+    is_new = true; /* nothing but its name is the same */
   }
   e->started_at = mt_max(e->started_at, engine->started_at);
   snprintf(e->ip, sizeof e->ip, "%s", engine->ip);
@@ -238,18 +245,18 @@
     e->domain_id = mtV_id(e->domain, strlen(e->domain));
     e->remote = strcmp(e->domain, g->relay->domain) != 0;
   }
-  uint64_t told = g->relay->counters.drains_heard;
+  uint64_t drains_before = g->relay->counters.drains_heard;
   mt_relay_engine_listed(g->relay, e, engine->cold,
                          mt_boot_clock_now(g->loop));
-  if (g->relay->counters.drains_heard != told)
+  if (g->relay->counters.drains_heard != drains_before)
     log_engine(g, e, "told-leaving-early");
   set_state(g, e, engine->draining ? MT_ENGINE_DRAINING : MT_ENGINE_READY,
             is_new);
 }
 
-static mt_change_t change_of_engine (const char *name,
-                                     const mt_gateway_engine_t *engine,
-                                     mt_revision_t rev) {
+static mt_change_t engine_change (const char *name,
+                                  const mt_gateway_engine_t *engine,
+                                  mt_revision_t rev) {
   mt_change_t change = mt_change_make(MT_CHANGE_ENGINE_GONE, name, rev);
   mt_change_engine_t *details = &change.u.engine;
   if (engine == NULL) return change;
@@ -265,13 +272,15 @@
   return change;
 }
 
-/* True for one that ended in an earlier era than the change which shows it as
-   ready: the store's copy may be from before that end. */
+/* True for an engine that drained or was removed in an earlier era than that
+   of the change which shows it as ready: the backup that the store was
+   restored from may be older than that end. */
 static bool may_have_ended (const mt_engine_t *e, const mt_change_t *change) {
   bool ended = e->state != MT_ENGINE_READY || e->unlisted_since != 0;
-  bool again = change->u.engine.started_at > e->started_at;
-  bool earlier = mt_revision_era(e->rev) < mt_revision_era(change->rev);
-  return change->kind == MT_CHANGE_ENGINE_READY && ended && earlier && !again;
+  bool restarted = change->u.engine.started_at > e->started_at;
+  bool earlier_era = mt_revision_era(e->rev) < mt_revision_era(change->rev);
+  return change->kind == MT_CHANGE_ENGINE_READY && ended && earlier_era &&
+         !restarted;
 }
 
 static bool is_unchanged (const mt_engine_t *e,
@@ -281,8 +290,9 @@
          e->port == read->port && e->slots == read->slots;
 }
 
-/* In the grace of a restore, an entry that shows an engine as ready changes
-   nothing where that is known, or may be the copy's. */
+/* True for an entry that shows an engine as ready and changes nothing in the
+   grace period after a restore: that is known already, or the entry may be an
+   old one from the backup. */
 static bool is_redundant (const mt_gateway_t *g, const mt_change_t *change) {
   uint64_t key = mt_engine_key(change->name, strlen(change->name));
   const mt_engine_t *e = mt_engines_get(&g->relay->engines, key);
@@ -290,29 +300,30 @@
   return may_have_ended(e, change) || is_unchanged(e, &change->u.engine);
 }
 
-void mt_gateway_engine (mt_gateway_t *g, const char *name,
-                        const mt_gateway_engine_t *engine,
-                        mt_revision_t rev) {
-  mt_change_t change = change_of_engine(name, engine, rev);
+void mt_gateway_set_engine (mt_gateway_t *g, const char *name,
+                            const mt_gateway_engine_t *engine,
+                            mt_revision_t rev) {
+  mt_change_t change = engine_change(name, engine, rev);
   if (mt_gateway_in_restore_grace(g) && is_redundant(g, &change)) return;
-  if (mt_gateway_peers_changed(g->peers, &change))
-    take_engine(g, name, engine, rev, mt_boot_clock_now(g->loop));
+  if (mt_gateway_peers_source_changed(g->peers, &change))
+    apply_engine(g, name, engine, rev, mt_boot_clock_now(g->loop));
 }
 
-/* A list no longer shows it: it went at some time since others know more. */
+/* A list no longer has the engine. It was removed at some time since other
+   routers have known changes that were not received here. */
 static void engine_unlisted (mt_gateway_t *g, const char *name,
                              mt_revision_t rev) {
   mt_ms_t now = mt_boot_clock_now(g->loop);
-  mt_ms_t since = mt_gateway_peers_lacking(g->peers, MT_FEED_ENGINES);
+  mt_ms_t since = mt_gateway_peers_behind_since(g->peers, MT_FEED_ENGINES);
   mt_change_t gone = mt_change_make(MT_CHANGE_ENGINE_GONE, name, rev);
   if (since == 0) since = now;
   gone.age = now - since;
-  if (mt_gateway_peers_changed(g->peers, &gone))
-    take_engine(g, name, NULL, rev, since);
+  if (mt_gateway_peers_source_changed(g->peers, &gone))
+    apply_engine(g, name, NULL, rev, since);
 }
 
-void mt_gateway_listed (mt_gateway_t *g, const mt_map_t *seen,
-                        mt_revision_t rev) {
+void mt_gateway_engines_listed (mt_gateway_t *g, const mt_map_t *seen,
+                                mt_revision_t rev) {
   mt_engines_t *engines = &g->relay->engines;
   if (mt_gateway_in_restore_grace(g)) return;
   for (size_t i = 0; i < engines->count; i++) {
@@ -320,56 +331,57 @@
     if (e->unlisted_since != 0 || e->state == MT_ENGINE_GONE) continue;
     if (mtV_get(seen, e->key) == NULL) engine_unlisted(g, e->name, rev);
   }
-  mt_gateway_peers_listed(g->peers, seen, rev);
+  mt_gateway_peers_engines_listed(g->peers, seen, rev);
 }
 
 /*
-** Datagrams come from anybody, and an engine gets members' prompts: that one
-** is there, and where, is only taken from the source itself. A change of an
-** engine that is not known here is of no use until the source tells of it.
+** Applies a change of an engine that another router sent. Datagrams are not
+** authenticated, and engines receive callers' prompts, so new engines and
+** addresses are only accepted from the source itself. False if the source has
+** to be read for it.
 */
-static bool take_told_engine (mt_gateway_t *g, const mt_change_t *change,
-                              mt_ms_t since) {
-  const mt_change_engine_t *told = &change->u.engine;
+static bool apply_peer_engine (mt_gateway_t *g, const mt_change_t *change,
+                               mt_ms_t since) {
+  const mt_change_engine_t *received = &change->u.engine;
   const mt_gateway_engine_t engine = {.name = change->name,
-                                      .domain = told->domain,
-                                      .ip = told->ip,
-                                      .port = told->port,
-                                      .service = told->service,
-                                      .slots = told->slots,
-                                      .started_at = told->started_at,
+                                      .domain = received->domain,
+                                      .ip = received->ip,
+                                      .port = received->port,
+                                      .service = received->service,
+                                      .slots = received->slots,
+                                      .started_at = received->started_at,
                                       .draining = change->kind ==
                                                   MT_CHANGE_ENGINE_DRAINING,
-                                      .cold = told->cold};
+                                      .cold = received->cold};
   uint64_t key = mt_engine_key(change->name, strlen(change->name));
   const mt_engine_t *e = mt_engines_get(&g->relay->engines, key);
   if (change->kind == MT_CHANGE_ENGINE_GONE) {
-    take_engine(g, change->name, NULL, change->rev, since);
+    apply_engine(g, change->name, NULL, change->rev, since);
     return true;
   }
   if (e != NULL && may_have_ended(e, change) &&
       (mt_gateway_in_restore_grace(g) || e->state == MT_ENGINE_DRAINING))
     return false;
-  bool known =
-      e != NULL && strcmp(e->ip, told->ip) == 0 && e->port == told->port;
-  if (known) take_engine(g, change->name, &engine, change->rev, since);
+  bool known = e != NULL && strcmp(e->ip, received->ip) == 0 &&
+               e->port == received->port;
+  if (known) apply_engine(g, change->name, &engine, change->rev, since);
   return known;
 }
 
 /* }== */
 
-bool mt_gateway_take_change (void *ud, const mt_change_t *change,
-                             mt_ms_t since) {
+bool mt_gateway_apply_change (void *ud, const mt_change_t *change,
+                              mt_ms_t since) {
   mt_gateway_t *g = ud;
   mt_denials_t *denials = &g->relay->denials;
   switch (change->kind) {
     case MT_CHANGE_ENGINE_READY:
     case MT_CHANGE_ENGINE_DRAINING:
-    case MT_CHANGE_ENGINE_GONE: return take_told_engine(g, change, since);
+    case MT_CHANGE_ENGINE_GONE: return apply_peer_engine(g, change, since);
     case MT_CHANGE_DOMAIN_EVACUATED:
     case MT_CHANGE_DOMAIN_REINSTATED:
-      empty_domain(g, change->name,
-                   change->kind == MT_CHANGE_DOMAIN_EVACUATED);
+      set_evacuated(g, change->name,
+                    change->kind == MT_CHANGE_DOMAIN_EVACUATED);
       return true;
     case MT_CHANGE_KEY_REVOKED:
     case MT_CHANGE_KEY_GRANTED:
@@ -388,20 +400,22 @@
   return false;
 }
 
-void mt_gateway_set_unsure (mt_gateway_t *g, bool unsure) {
-  g->relay->unsure = unsure;
+void mt_gateway_set_config_maybe_stale (mt_gateway_t *g, bool stale) {
+  g->relay->unsure = stale;
 }
 
 mt_peer_feed_t mt_gateway_feed (const mt_gateway_t *g, mt_feed_kind_t kind) {
   return mt_gateway_peers_feed(g->peers, kind);
 }
 
-mt_revision_t mt_gateway_taken (const mt_gateway_t *g, mt_feed_kind_t kind) {
-  return mt_gateway_peers_taken(g->peers, kind);
+mt_revision_t mt_gateway_applied_rev (const mt_gateway_t *g,
+                                      mt_feed_kind_t kind) {
+  return mt_gateway_peers_applied_rev(g->peers, kind);
 }
 
-mt_revision_t mt_gateway_told (const mt_gateway_t *g, mt_feed_kind_t kind) {
-  return mt_gateway_peers_told(g->peers, kind);
+mt_revision_t mt_gateway_received_rev (const mt_gateway_t *g,
+                                       mt_feed_kind_t kind) {
+  return mt_gateway_peers_received_rev(g->peers, kind);
 }
 
 void mt_gateway_set_feed (mt_gateway_t *g, mt_feed_kind_t kind,
@@ -410,18 +424,19 @@
   mt_gateway_peers_set_feed(g->peers, kind, newest, at, reading);
 }
 
-void mt_gateway_set_source (mt_gateway_t *g, bool reachable) {
-  mt_gateway_peers_set_source(g->peers, reachable);
+void mt_gateway_set_source_reachable (mt_gateway_t *g, bool reachable) {
+  mt_gateway_peers_set_source_reachable(g->peers, reachable);
 }
 
-void mt_gateway_count_source (mt_gateway_t *g, mt_source_event_t event) {
+void mt_gateway_count_source_event (mt_gateway_t *g,
+                                    mt_source_event_t event) {
   g->source_events[event]++;
 }
 
-bool mt_gateway_watches (const mt_gateway_t *g) {
-  return mt_gateway_peers_watches(g->peers);
+bool mt_gateway_watches_source (const mt_gateway_t *g) {
+  return mt_gateway_peers_watches_source(g->peers);
 }
 
-bool mt_gateway_leads (const mt_gateway_t *g) {
-  return mt_gateway_peers_leads(g->peers);
+bool mt_gateway_watches_for_domain (const mt_gateway_t *g) {
+  return mt_gateway_peers_watches_for_domain(g->peers);
 }
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -1,5 +1,5 @@
 /*
-** gateway_log.c - the lines of requests and engines
+** gateway_log.c - log lines about requests and engines
 */
 #include <string.h>
 
@@ -32,18 +32,18 @@
               e->port, e->local.running, outcome);
 }
 
-/* Tokens of the part of the prompt that nobody shares. */
-static int64_t own_tokens (const mt_relay_request_t *r) {
+/* Tokens of the prompt's last segment, which no other request shares. */
+static int64_t unshared_tokens (const mt_relay_request_t *r) {
   return r->parts_count > 0 ? r->parts[r->parts_count - 1].tokens : 0;
 }
 
 void mt_gateway_log_request (mt_log_writer_t *log, const mt_relay_t *relay,
                              const mt_relay_request_t *r, const char *outcome,
                              const char *why) {
-  bool well = strcmp(outcome, "answered") == 0 && r->attempt == 1;
+  bool routine = strcmp(outcome, "answered") == 0 && r->attempt == 1;
   int64_t version = relay->catalog ? relay->catalog->version : 0;
   mt_log_line(
-      log, well ? MT_LOG_DETAIL : MT_LOG_FAILURE, relay->now, "request",
+      log, routine ? MT_LOG_DETAIL : MT_LOG_FAILURE, relay->now, "request",
       "id=%s digest=%016llx route=%08x workspace=%08x engine=%s attempt=%d age=%llu "
       "status=%d wait=%.0f expected=%.0f first=%llu standing=%.2f "
       "tokens=%lld own=%lld unread=%lld fetched=%lld home=%d last=%lld "
@@ -53,7 +53,7 @@
       r->engine_name[0] ? r->engine_name : "-", r->attempt,
       (number_t)(relay->now - r->arrived), r->status, r->wait_expected,
       r->first_expected, (number_t)r->first, r->standing,
-      (long long)r->tokens_in, (long long)own_tokens(r),
+      (long long)r->tokens_in, (long long)unshared_tokens(r),
       (long long)r->pending_prefill, (long long)r->fetched, r->home,
       (long long)r->last_event, (long long)version, outcome, why);
 }
--- a/src/gateway/gateway_log.h
+++ b/src/gateway/gateway_log.h
@@ -1,6 +1,6 @@
 /*
-** gateway_log.h - the lines of requests and engines; fields are listed in
-** docs/OPERATIONS.md
+** gateway_log.h - log lines about requests and engines; their fields are
+** listed in docs/OPERATIONS.md
 */
 #ifndef gateway_log_h
 #define gateway_log_h
@@ -9,14 +9,17 @@
 #include "log_writer.h"
 #include "relay.h"
 
-/* One line for each decision on a request; the usual end weighs least. */
+/* Logs the outcome of an attempt or of a request. Answers to a first attempt
+   have the lowest priority: they are dropped first. */
 void mt_gateway_log_request (mt_log_writer_t *log, const mt_relay_t *relay,
                              const mt_relay_request_t *request,
                              const char *outcome, const char *why);
 
+/* Logs a change of an engine's state. */
 void mt_gateway_log_engine (mt_log_writer_t *log, mt_ms_t now,
                             const mt_engine_t *engine, const char *outcome);
 
+/* Names in log lines. */
 const char *mt_gateway_state_name (mt_engine_state_t state);
 const char *mt_gateway_probe_name (mt_http_probe_t how);
 
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,5 +1,5 @@
 /*
-** gateway_metrics.h - counters as Prometheus text
+** gateway_metrics.h - metrics in the Prometheus text format
 */
 #ifndef gateway_metrics_h
 #define gateway_metrics_h
@@ -11,19 +11,20 @@
 #include "log_writer.h"
 #include "overload.h"
 
-/* Where the figures are read from. */
+/* Where the values are read from. */
 typedef struct mt_gateway_metrics_t {
   const mt_relay_t *relay;
   const mt_http_client_t *engines;
   const mt_http_server_t *callers;
   const mt_overload_t *overload;
   const mt_log_writer_t *log;
-  const mt_peer_traffic_t *traffic; /* by kind of message */
-  const uint64_t *news;             /* by outcome */
+  const mt_peer_traffic_t *traffic; /* by mt_peer_kind_t */
+  const uint64_t *updates;          /* by mt_feed_outcome_t */
   const uint64_t *source_events;    /* by mt_source_event_t */
-  uint64_t addresses_refused;
+  uint64_t addresses_refused;       /* router addresses not stored */
 } mt_gateway_metrics_t;
 
-void mt_gateway_metrics (const mt_gateway_metrics_t *from, mt_text_t *out);
+/* Appends all metrics. */
+void mt_gateway_metrics (const mt_gateway_metrics_t *from, mt_strbuf_t *out);
 
 #endif
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -1,5 +1,5 @@
 /*
-** gateway_peers.c - what routers tell each other, as datagrams
+** gateway_peers.c - messages between routers, as UDP datagrams
 */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -12,37 +12,37 @@
 #include "share_exchange.h"
 #include "suspect_exchange.h"
 
-#define ROW_VALID_MS 2500 /* a load that is not repeated */
-/* A greeting is larger than the datagram that it answers, which anybody may
-   have sent. */
-#define GREET_LEAST_MS 200
-#define READ_AT_ONCE 4096 /* datagrams, in one turn of the loop */
+#define LOAD_VALID_MS 2500 /* a reported load that is not repeated */
+/* Interval between greetings of one peer. A greeting is larger than the
+   datagram that causes it, which may be forged: a limit on amplification. */
+#define GREET_MIN_INTERVAL_MS 200
+#define READ_BATCH_MAX 4096 /* datagrams in one tick */
 
 struct mt_gateway_peers_t {
   uv_loop_t *loop;
   uv_udp_t udp;
   mt_relay_t *relay;
   mt_log_writer_t *log;
-  mt_gateway_peers_calls_t calls;
+  mt_gateway_peers_callbacks_t callbacks;
   uint16_t port;
-  uint64_t boot, number;
+  uint64_t boot, number; /* of this process; of the last message sent */
   mt_membership_t members;
-  mt_load_reporter_t teller;
-  mt_share_exchange_t exchange;
+  mt_load_reporter_t load_reports;
+  mt_share_exchange_t share_sync;
   mt_feed_exchange_t feeds;
   mt_suspect_exchange_t suspects;
   mt_drain_exchange_t draining;
-  bool led; /* at the last tick: it watched the source for others */
+  bool watched_for_domain; /* as of the last tick */
   mt_peer_traffic_t traffic[MT_PEER_KINDS];
-  uint64_t news[MT_FEED_OUTCOMES];
+  uint64_t updates[MT_FEED_OUTCOMES]; /* counts */
   mt_peer_message_t in, out;
   char input[MT_PEER_DATAGRAM_MAX], output[MT_PEER_DATAGRAM_MAX];
 };
 
 /* {== Sending ========================================================== */
 
-static void say (mt_gateway_peers_t *peers, uint32_t ip,
-                 const char *outcome) {
+static void log_peer (mt_gateway_peers_t *peers, uint32_t ip,
+                      const char *outcome) {
   char text[INET_ADDRSTRLEN];
   inet_ntop(AF_INET, &ip, text, sizeof text);
   mt_log_line(peers->log, MT_LOG_STATE, mt_boot_clock_now(peers->loop),
@@ -50,26 +50,27 @@
               peers->members.live, outcome);
 }
 
-/* Who told what up to which revision, and of what use it was. */
-static void note_news (void *ud, uint32_t ip, mt_feed_kind_t kind,
-                       const mt_peer_span_t *span, size_t changes,
-                       mt_feed_outcome_t outcome) {
+/* Logs and counts an update that was sent or received: its peer, the span of
+   revisions, and the outcome. */
+static void log_update (void *ud, uint32_t ip, mt_feed_kind_t kind,
+                        const mt_peer_span_t *span, size_t changes,
+                        mt_feed_outcome_t outcome) {
   static const char *const names[MT_FEEDS] = {"declarations", "engines"};
   mt_gateway_peers_t *peers = ud;
   const mt_feed_state_t *feed = &peers->feeds.feeds[kind].state;
   char text[INET_ADDRSTRLEN], base[MT_REVISION_TEXT_SIZE],
-      reach[MT_REVISION_TEXT_SIZE], told[MT_REVISION_TEXT_SIZE],
-      taken[MT_REVISION_TEXT_SIZE], newest[MT_REVISION_TEXT_SIZE];
+      reach[MT_REVISION_TEXT_SIZE], received[MT_REVISION_TEXT_SIZE],
+      applied[MT_REVISION_TEXT_SIZE], newest[MT_REVISION_TEXT_SIZE];
   inet_ntop(AF_INET, &ip, text, sizeof text);
-  peers->news[outcome]++;
+  peers->updates[outcome]++;
   mt_log_line(
       peers->log, MT_LOG_STATE, mt_boot_clock_now(peers->loop), "news",
       "peer=%s feed=%s base=%s reach=%s changes=%zu told=%s taken=%s "
       "newest=%s outcome=%s",
       text, names[kind], mt_revision_text(span->base, base),
       mt_revision_text(span->reach, reach), changes,
-      mt_revision_text(feed->told, told),
-      mt_revision_text(feed->taken, taken),
+      mt_revision_text(feed->told, received),
+      mt_revision_text(feed->taken, applied),
       mt_revision_text(feed->newest, newest), mt_feed_outcome_name(outcome));
 }
 
@@ -86,10 +87,11 @@
 static void count (mt_gateway_peers_t *peers, uint32_t ip, size_t n) {
   mt_peer_traffic_t *traffic = &peers->traffic[peers->out.kind];
   const mt_peer_t *peer = mtV_get(&peers->members.by_ip, ip);
-  bool near = peer != NULL && mt_membership_is_local(&peers->members, peer);
+  bool same_domain =
+      peer != NULL && mt_membership_is_local(&peers->members, peer);
   traffic->messages++;
   traffic->bytes += n;
-  traffic->bytes_far += near ? 0 : n;
+  traffic->bytes_remote += same_domain ? 0 : n;
 }
 
 static void send_bytes (mt_gateway_peers_t *peers, uint32_t ip, size_t n) {
@@ -106,24 +108,25 @@
                               sizeof peers->output);
 }
 
-/* Sends the message that was begun; its size. */
-static size_t send_out (mt_gateway_peers_t *peers, uint32_t ip) {
+/* Sends the message that was begun; returns its size, 0: it is too large. */
+static size_t send_message (mt_gateway_peers_t *peers, uint32_t ip) {
   size_t n = pack(peers);
   if (n > 0) send_bytes(peers, ip, n);
   return n;
 }
 
-static mt_peer_message_t *begin_round (void *ud, mt_peer_kind_t kind) {
+static mt_peer_message_t *begin_callback (void *ud, mt_peer_kind_t kind) {
   return begin(ud, kind);
 }
 
-static void send_news (void *ud, const uint32_t *to, size_t count) {
+static void send_callback (void *ud, const uint32_t *to, size_t count) {
   mt_gateway_peers_t *peers = ud;
   size_t n = pack(peers);
   for (size_t i = 0; i < count && n > 0; i++) send_bytes(peers, to[i], n);
 }
 
-static size_t send_round (void *ud, const uint32_t *to, size_t count) {
+static size_t send_sized_callback (void *ud, const uint32_t *to,
+                                   size_t count) {
   mt_gateway_peers_t *peers = ud;
   size_t n = pack(peers);
   for (size_t i = 0; i < count && n > 0; i++) send_bytes(peers, to[i], n);
@@ -131,17 +134,17 @@
 }
 
 /*
-** Tells a router that has just come who else there is, if it seems to know
-** less, in as many messages as it takes. When all start at once everybody
-** hears everybody else for the first time, and each would tell each of all.
+** Sends all members to a router that has just started, in as many messages as
+** it takes, unless it seems to know as many: when all routers start at once
+** each is new to each, and every one would send the list to every other.
 */
-static void welcome (mt_gateway_peers_t *peers, uint32_t ip,
-                     uint32_t its_groups) {
-  if (its_groups >= peers->members.groups && its_groups > 1) return;
+static void send_member_list (mt_gateway_peers_t *peers, uint32_t ip,
+                              uint32_t peer_groups) {
+  if (peer_groups >= peers->members.groups && peer_groups > 1) return;
   for (size_t next = 0; next < peers->members.count;) {
     mt_peer_message_t *m = begin(peers, MT_PEER_MEMBERS);
     next = mt_share_exchange_list_members(&peers->members, next, m);
-    send_out(peers, ip);
+    send_message(peers, ip);
   }
 }
 
@@ -149,10 +152,9 @@
 
 /* {== Suspects ========================================================= */
 
-/* What is believed of a request that engines ended under, and by whose word.
- */
-static void note_suspect (void *ud, const mt_suspect_t *s, uint32_t router,
-                          const char *why) {
+/* Logs the state of a suspect and which router sent the change. */
+static void log_suspect (void *ud, const mt_suspect_t *s, uint32_t router,
+                         const char *why) {
   mt_gateway_peers_t *peers = ud;
   const mt_relay_t *relay = peers->relay;
   mt_ms_t now = mt_boot_clock_now(peers->loop);
@@ -174,11 +176,11 @@
 static void on_verdict (void *ud, const mt_suspect_message_t *word,
                         mt_trial_verdict_t verdict) {
   mt_gateway_peers_t *peers = ud;
-  peers->calls.tried(peers->calls.ud, word, verdict);
+  peers->callbacks.trial(peers->callbacks.ud, word, verdict);
 }
 
-void mt_gateway_peers_say (mt_gateway_peers_t *peers,
-                           const mt_suspect_message_t *word) {
+void mt_gateway_peers_send_suspect_message (
+    mt_gateway_peers_t *peers, const mt_suspect_message_t *word) {
   peers->members.now = mt_boot_clock_now(peers->loop);
   mt_suspect_exchange_send(&peers->suspects, word);
 }
@@ -190,16 +192,17 @@
 static bool on_peer_drain (void *ud, const mt_peer_drain_t *drain,
                            uint32_t router) {
   mt_gateway_peers_t *peers = ud;
-  return peers->calls.draining(peers->calls.ud, drain, router);
+  return peers->callbacks.draining(peers->callbacks.ud, drain, router);
 }
 
-void mt_gateway_peers_draining (mt_gateway_peers_t *peers, uint64_t engine) {
+void mt_gateway_peers_engine_draining (mt_gateway_peers_t *peers,
+                                       uint64_t engine) {
   mt_drain_exchange_add(&peers->draining, engine);
 }
 
 /* }== */
 
-/* {== The source of declarations ======================================= */
+/* {== The configuration source ========================================= */
 
 mt_peer_feed_t mt_gateway_peers_feed (const mt_gateway_peers_t *peers,
                                       mt_feed_kind_t kind) {
@@ -210,8 +213,8 @@
   return known;
 }
 
-bool mt_gateway_peers_changed (mt_gateway_peers_t *peers,
-                               const mt_change_t *change) {
+bool mt_gateway_peers_source_changed (mt_gateway_peers_t *peers,
+                                      const mt_change_t *change) {
   peers->members.now = mt_boot_clock_now(peers->loop);
   return mt_feed_exchange_add_change(&peers->feeds, change);
 }
@@ -224,47 +227,50 @@
   mt_feed_exchange_source_read(&peers->feeds, kind, newest, at, reading);
 }
 
-void mt_gateway_peers_listed (mt_gateway_peers_t *peers, const mt_map_t *seen,
-                              mt_revision_t rev) {
+void mt_gateway_peers_engines_listed (mt_gateway_peers_t *peers,
+                                      const mt_map_t *seen,
+                                      mt_revision_t rev) {
   peers->members.now = mt_boot_clock_now(peers->loop);
   mt_feed_exchange_remove_unlisted(&peers->feeds, seen, rev);
 }
 
-mt_ms_t mt_gateway_peers_lacking (const mt_gateway_peers_t *peers,
-                                  mt_feed_kind_t kind) {
+mt_ms_t mt_gateway_peers_behind_since (const mt_gateway_peers_t *peers,
+                                       mt_feed_kind_t kind) {
   return mt_feed_exchange_behind_since(&peers->feeds, kind);
 }
 
-const mt_change_log_t *mt_gateway_peers_log (const mt_gateway_peers_t *peers,
-                                             mt_feed_kind_t kind) {
+const mt_change_log_t *
+mt_gateway_peers_change_log (const mt_gateway_peers_t *peers,
+                             mt_feed_kind_t kind) {
   return &peers->feeds.feeds[kind].log;
 }
 
-mt_revision_t mt_gateway_peers_taken (const mt_gateway_peers_t *peers,
-                                      mt_feed_kind_t kind) {
+mt_revision_t mt_gateway_peers_applied_rev (const mt_gateway_peers_t *peers,
+                                            mt_feed_kind_t kind) {
   return peers->feeds.feeds[kind].state.taken;
 }
 
-mt_revision_t mt_gateway_peers_told (const mt_gateway_peers_t *peers,
-                                     mt_feed_kind_t kind) {
+mt_revision_t mt_gateway_peers_received_rev (const mt_gateway_peers_t *peers,
+                                             mt_feed_kind_t kind) {
   return peers->feeds.feeds[kind].state.told;
 }
 
 static bool apply_change (void *ud, const mt_change_t *change,
                           mt_ms_t since) {
   mt_gateway_peers_t *peers = ud;
-  return peers->calls.change(peers->calls.ud, change, since);
+  return peers->callbacks.change(peers->callbacks.ud, change, since);
 }
 
-void mt_gateway_peers_set_source (mt_gateway_peers_t *peers, bool reachable) {
+void mt_gateway_peers_set_source_reachable (mt_gateway_peers_t *peers,
+                                            bool reachable) {
   peers->members.own_reaches_source = reachable;
 }
 
-bool mt_gateway_peers_watches (const mt_gateway_peers_t *peers) {
+bool mt_gateway_peers_watches_source (const mt_gateway_peers_t *peers) {
   return mt_membership_watches(&peers->members);
 }
 
-bool mt_gateway_peers_leads (const mt_gateway_peers_t *peers) {
+bool mt_gateway_peers_watches_for_domain (const mt_gateway_peers_t *peers) {
   return mt_membership_watches_for_domain(&peers->members);
 }
 
@@ -279,9 +285,9 @@
 }
 
 /*
-** True when no router that this one hears of owns the engine. Others may
-** pass over an owner that did not answer them; that one still hands out
-** places, so whoever they take instead must not.
+** True if this router owns the engine by the membership alone. Routers skip
+** an owner that did not answer them and ask the next one; the skipped owner
+** still hands out permits for cold engines, so the next one must not.
 */
 static bool owns (const mt_gateway_peers_t *peers, uint64_t key) {
   const mt_engine_t *e = mt_engines_get(&peers->relay->engines, key);
@@ -290,31 +296,32 @@
                             mtV_id(e->domain, strlen(e->domain)));
 }
 
-static void pack_load (mt_gateway_peers_t *peers, mt_peer_message_t *m,
-                       mt_engine_t *e) {
+static void add_load (mt_gateway_peers_t *peers, mt_peer_message_t *m,
+                      mt_engine_t *e) {
   m->engines[m->engines_count++] = (mt_peer_engine_t){
       .key = e->key, .load = e->local, .tokens = e->tokens_processed};
   e->load_dirty = false;
   e->told = mt_boot_clock_now(peers->loop);
 }
 
-/* Tells the owner of the home where parts were read instead. */
-static void tell_holder (mt_gateway_peers_t *peers,
-                         const mt_relay_request_t *r) {
+/* Reports to the owner of a segment's home engine that the segment was
+   prefilled at another engine instead. */
+static void report_holder (mt_gateway_peers_t *peers,
+                           const mt_relay_request_t *r) {
   const mt_engine_t *home =
       mt_engines_get(&peers->relay->engines, r->home_of_all);
   if (home == NULL || !mt_kv_cache_should_report(r)) return;
   uint32_t owner = owner_of(peers, home);
-  uint64_t part = mt_kv_cache_home_segment(r->parts, r->parts_count);
+  uint64_t segment = mt_kv_cache_home_segment(r->parts, r->parts_count);
   if (owner == peers->members.own_ip) {
-    mt_prefix_holders_set(&peers->relay->holders, part, r->engine->key,
+    mt_prefix_holders_set(&peers->relay->holders, segment, r->engine->key,
                           mt_boot_clock_now(peers->loop));
     return;
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_PREFIX_HOLDER);
   m->engines[m->engines_count++] = (mt_peer_engine_t){.key = r->engine->key};
-  m->parts[m->parts_count++] = (mt_prefix_segment_t){.id = part};
-  send_out(peers, owner);
+  m->parts[m->parts_count++] = (mt_prefix_segment_t){.id = segment};
+  send_message(peers, owner);
 }
 
 static void on_holds (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
@@ -323,10 +330,10 @@
                         m->engines[0].key, mt_boot_clock_now(peers->loop));
 }
 
-void mt_gateway_peers_placed (mt_gateway_peers_t *peers,
-                              const mt_relay_request_t *r) {
+void mt_gateway_peers_request_sent (mt_gateway_peers_t *peers,
+                                    const mt_relay_request_t *r) {
   if (r->engine == NULL) return;
-  tell_holder(peers, r);
+  report_holder(peers, r);
   uint32_t owner = owner_of(peers, r->engine);
   if (owner == peers->members.own_ip) {
     if (!r->has_place)
@@ -335,14 +342,15 @@
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_LOAD);
   m->request_number = r->number;
-  pack_load(peers, m, r->engine);
+  add_load(peers, m, r->engine);
   if (r->has_place) m->engines[0].admission = MT_ADMIT_PLACE;
   m->parts_count = r->parts_count;
   memcpy(m->parts, r->parts, r->parts_count * sizeof *r->parts);
-  send_out(peers, owner);
+  send_message(peers, owner);
 }
 
-void mt_gateway_peers_give_back (mt_gateway_peers_t *peers, uint64_t key) {
+void mt_gateway_peers_return_permit (mt_gateway_peers_t *peers,
+                                     uint64_t key) {
   const mt_engine_t *e = mt_engines_get(&peers->relay->engines, key);
   uint32_t owner = e != NULL ? owner_of(peers, e) : 0;
   if (owner == peers->members.own_ip) {
@@ -351,7 +359,7 @@
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_PERMIT_RETURN);
   m->engines[m->engines_count++] = (mt_peer_engine_t){.key = key};
-  if (owner != 0) send_out(peers, owner);
+  if (owner != 0) send_message(peers, owner);
 }
 
 static void on_back (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
@@ -359,13 +367,13 @@
     mt_cold_starts_give_back(&peers->relay->cold, m->engines[i].key);
 }
 
-/* Sends rows that go to one owner. */
-static void tell_loads (void *ud, uint32_t owner, mt_engine_t **engines,
+/* Reports loads to one owner. */
+static void send_loads (void *ud, uint32_t owner, mt_engine_t **engines,
                         size_t count) {
   mt_gateway_peers_t *peers = ud;
   mt_peer_message_t *m = begin(peers, MT_PEER_LOAD);
-  for (size_t i = 0; i < count; i++) pack_load(peers, m, engines[i]);
-  if (owner != peers->members.own_ip) send_out(peers, owner);
+  for (size_t i = 0; i < count; i++) add_load(peers, m, engines[i]);
+  if (owner != peers->members.own_ip) send_message(peers, owner);
 }
 
 static uint32_t find_owner (void *ud, const mt_engine_t *e) {
@@ -380,11 +388,11 @@
   peers->out.parts_count = r->parts_count;
   memcpy(peers->out.parts, r->parts, r->parts_count * sizeof *r->parts);
   if (peer->asked == 0) peer->asked = mt_boot_clock_now(peers->loop);
-  send_out(peers, owner);
+  send_message(peers, owner);
 }
 
-void mt_gateway_peers_ask (mt_gateway_peers_t *peers,
-                           const mt_relay_request_t *r) {
+void mt_gateway_peers_request_quotes (mt_gateway_peers_t *peers,
+                                      const mt_relay_request_t *r) {
   uint32_t owners[MT_RELAY_CANDIDATES_MAX];
   mt_relay_quote_t own[MT_RELAY_CANDIDATES_MAX];
   size_t own_count = 0, first = r->round_first, end = r->candidates_count;
@@ -410,7 +418,7 @@
     ask_owner(peers, owner, r);
   }
   if (own_count > 0)
-    peers->calls.quoted(peers->calls.ud, r->number, own, own_count);
+    peers->callbacks.quoted(peers->callbacks.ud, r->number, own, own_count);
 }
 
 static void on_ask (mt_gateway_peers_t *peers, uint32_t ip,
@@ -427,7 +435,7 @@
         quote.engine, quote.peers, quote.cached, quote.holder,
         mt_relay_admission(peers->relay, key, owns(peers, key))};
   }
-  send_out(peers, ip);
+  send_message(peers, ip);
 }
 
 static void on_quote (mt_gateway_peers_t *peers, mt_peer_t *peer,
@@ -439,8 +447,8 @@
                                    m->engines[i].admission};
   peer->asked = 0;
   peer->suspect_until = 0;
-  peers->calls.quoted(peers->calls.ud, m->request_number, quotes,
-                      m->engines_count);
+  peers->callbacks.quoted(peers->callbacks.ud, m->request_number, quotes,
+                          m->engines_count);
 }
 
 static void on_load (mt_gateway_peers_t *peers, uint32_t ip,
@@ -452,7 +460,7 @@
     mt_load_row_t row = {.router = ip,
                          .load = e->load,
                          .tokens_processed = e->tokens,
-                         .valid_until = now + ROW_VALID_MS};
+                         .valid_until = now + LOAD_VALID_MS};
     mt_relay_heard_load(peers->relay, e->key, &row, m->parts, m->parts_count);
     if (m->request_number != 0 && e->admission != MT_ADMIT_PLACE)
       mt_cold_starts_charge(&peers->relay->cold, e->key);
@@ -463,7 +471,7 @@
 
 /* {== Receiving ======================================================== */
 
-/* False for one that a newer message of its sender has overtaken. */
+/* False if a newer message of the same sender has come before. */
 static bool is_newest (mt_peer_t *peer, const mt_peer_message_t *m) {
   if (m->boot == peer->boot && m->number <= peer->number) return false;
   peer->boot = m->boot;
@@ -479,7 +487,7 @@
     case MT_PEER_GROUP_SUMMARY:
     case MT_PEER_DOMAIN_SUMMARY:
       if (is_newest(peer, m))
-        mt_share_exchange_receive(&peers->exchange, peer, m);
+        mt_share_exchange_receive(&peers->share_sync, peer, m);
       break;
     case MT_PEER_LOAD:
       if (is_newest(peer, m)) on_load(peers, peer->ip, m);
@@ -507,28 +515,30 @@
 }
 
 /*
-** True for a process that knows nothing yet. One that starts again at once is
-** still taken to serve, though it has lost what it was told.
+** True for a router whose process knows nothing yet: it is not known to be
+** live, or it has restarted so soon that it still counts as live, though it
+** has lost its state.
 */
 static bool needs_greeting (const mt_membership_t *members,
                             const mt_peer_t *peer, uint64_t boot) {
   if (!mt_membership_is_live(members, peer)) return true;
   return boot != peer->synced_boot &&
-         members->now >= peer->synced_at + GREET_LEAST_MS;
+         members->now >= peer->synced_at + GREET_MIN_INTERVAL_MS;
 }
 
+/* Sends a new router the state that is otherwise only sent on changes. */
 static void greet (mt_gateway_peers_t *peers, mt_peer_t *peer,
                    const mt_peer_message_t *m) {
   peer->synced_boot = m->boot;
   peer->synced_at = peers->members.now;
-  say(peers, peer->ip, "heard");
+  log_peer(peers, peer->ip, "heard");
   mt_suspect_exchange_sync_peer(&peers->suspects, peer->ip);
   mt_drain_exchange_sync_peer(&peers->draining, peer->ip);
-  if (m->kind == MT_PEER_HELLO) welcome(peers, peer->ip, m->groups);
+  if (m->kind == MT_PEER_HELLO) send_member_list(peers, peer->ip, m->groups);
 }
 
-static void take_datagram (mt_gateway_peers_t *peers, uint32_t ip,
-                           const char *bytes, size_t n) {
+static void handle_datagram (mt_gateway_peers_t *peers, uint32_t ip,
+                             const char *bytes, size_t n) {
   mt_peer_message_t *m = &peers->in;
   if (!mt_peer_message_unpack(m, bytes, n)) return;
   peers->members.now = mt_boot_clock_now(peers->loop);
@@ -545,23 +555,24 @@
                          const struct sockaddr *from, unsigned flags) {
   if (n <= 0 || from == NULL) return;
   uint32_t ip = ((const struct sockaddr_in *)from)->sin_addr.s_addr;
-  take_datagram(udp->data, ip, buf->base, (size_t)n);
+  handle_datagram(udp->data, ip, buf->base, (size_t)n);
 }
 
 /*
-** The loop reads a few datagrams in each of its turns. Where turns are long
-** that is less than what comes, the queue stays full, and news are lost.
+** libuv reads only a few datagrams in each iteration of the loop. When
+** iterations are long, fewer are read than arrive, the socket's queue stays
+** full, and messages are lost.
 */
 void mt_gateway_peers_read (mt_gateway_peers_t *peers) {
   uv_os_fd_t fd;
   if (uv_fileno((uv_handle_t *)&peers->udp, &fd) != 0) return;
-  for (int i = 0; i < READ_AT_ONCE; i++) {
+  for (int i = 0; i < READ_BATCH_MAX; i++) {
     struct sockaddr_in from = {.sin_port = 0};
     socklen_t size = sizeof from;
     ssize_t n = recvfrom(fd, peers->input, sizeof peers->input, MSG_DONTWAIT,
                          (struct sockaddr *)&from, &size);
     if (n < 0) return;
-    take_datagram(peers, from.sin_addr.s_addr, peers->input, (size_t)n);
+    handle_datagram(peers, from.sin_addr.s_addr, peers->input, (size_t)n);
   }
 }
 
@@ -572,42 +583,44 @@
 
 /* }== */
 
-/* Says when this router begins or ends to watch the source for others. */
-static void note_role (mt_gateway_peers_t *peers) {
-  bool leads = mt_gateway_peers_leads(peers);
-  if (leads == peers->led) return;
-  peers->led = leads;
+/* Logs when this router starts or stops watching the source for others. */
+static void log_watcher_role (mt_gateway_peers_t *peers) {
+  bool watches = mt_gateway_peers_watches_for_domain(peers);
+  if (watches == peers->watched_for_domain) return;
+  peers->watched_for_domain = watches;
   mt_log_line(peers->log, MT_LOG_STATE, mt_boot_clock_now(peers->loop),
               "watcher", "source=%d routers=%d outcome=%s",
               peers->members.own_reaches_source, peers->members.live,
-              leads ? "begun" : "ended");
+              watches ? "begun" : "ended");
 }
 
 int mt_gateway_peers_tick (mt_gateway_peers_t *peers) {
   mt_ms_t now = mt_boot_clock_now(peers->loop);
-  const mt_load_reporter_callbacks_t calls = {find_owner, tell_loads, peers};
+  const mt_load_reporter_callbacks_t load_callbacks = {find_owner, send_loads,
+                                                       peers};
   mt_membership_update(&peers->members, now);
-  mt_load_reporter_tick(&peers->teller, &peers->relay->engines, now, &calls);
-  mt_share_exchange_tick(&peers->exchange);
+  mt_load_reporter_tick(&peers->load_reports, &peers->relay->engines, now,
+                        &load_callbacks);
+  mt_share_exchange_tick(&peers->share_sync);
   mt_feed_exchange_tick(&peers->feeds);
   mt_suspect_exchange_tick(&peers->suspects);
   mt_drain_exchange_tick(&peers->draining);
   peers->relay->reach = mt_membership_live_fraction(&peers->members);
-  note_role(peers);
+  log_watcher_role(peers);
   return peers->members.live;
 }
 
 mt_gateway_peers_t *
 mt_gateway_peers_open (uv_loop_t *loop, const mt_gateway_settings_t *settings,
                        mt_relay_t *relay, mt_log_writer_t *log,
-                       const mt_gateway_peers_calls_t *calls) {
+                       const mt_gateway_peers_callbacks_t *callbacks) {
   mt_gateway_peers_t *peers = mtV_new(sizeof *peers);
   mt_membership_t *members = &peers->members;
   struct sockaddr_in addr;
   peers->loop = loop;
   peers->relay = relay;
   peers->log = log;
-  peers->calls = *calls;
+  peers->callbacks = *callbacks;
   peers->port = settings->peers.port;
   peers->boot = uv_hrtime();
   uv_ip4_addr(settings->peers.ip, settings->peers.port, &addr);
@@ -615,20 +628,21 @@
   members->own_domain = mtV_id(settings->domain, strlen(settings->domain));
   members->own_reaches_source = true;
   mt_membership_update(members, mt_boot_clock_now(loop));
-  const mt_share_exchange_callbacks_t round = {begin_round, send_round,
-                                               peers};
-  mt_share_exchange_open(&peers->exchange, members, &relay->shares, &round);
-  const mt_feed_exchange_callbacks_t news = {begin_round, send_news,
-                                             apply_change, note_news, peers};
-  mt_feed_exchange_open(&peers->feeds, members, &news);
-  const mt_suspect_exchange_callbacks_t words = {
-      begin_round, send_news, on_verdict, note_suspect, peers};
+  const mt_share_exchange_callbacks_t share_callbacks = {
+      begin_callback, send_sized_callback, peers};
+  mt_share_exchange_open(&peers->share_sync, members, &relay->shares,
+                         &share_callbacks);
+  const mt_feed_exchange_callbacks_t feed_callbacks = {
+      begin_callback, send_callback, apply_change, log_update, peers};
+  mt_feed_exchange_open(&peers->feeds, members, &feed_callbacks);
+  const mt_suspect_exchange_callbacks_t suspect_callbacks = {
+      begin_callback, send_callback, on_verdict, log_suspect, peers};
   mt_suspect_exchange_open(&peers->suspects, members, &relay->suspects,
-                           &words, peers->boot);
-  const mt_drain_exchange_callbacks_t drains = {begin_round, send_news,
-                                                on_peer_drain, peers};
-  mt_drain_exchange_open(&peers->draining, members, &relay->engines, &drains,
-                         peers->boot);
+                           &suspect_callbacks, peers->boot);
+  const mt_drain_exchange_callbacks_t drain_callbacks = {
+      begin_callback, send_callback, on_peer_drain, peers};
+  mt_drain_exchange_open(&peers->draining, members, &relay->engines,
+                         &drain_callbacks, peers->boot);
   uv_udp_init(loop, &peers->udp);
   peers->udp.data = peers;
   if (uv_udp_bind(&peers->udp, (const struct sockaddr *)&addr, 0) == 0)
@@ -644,12 +658,13 @@
   return peers->traffic;
 }
 
-uint64_t mt_gateway_peers_refused (const mt_gateway_peers_t *peers) {
+uint64_t
+mt_gateway_peers_addresses_refused (const mt_gateway_peers_t *peers) {
   return peers->members.refused;
 }
 
-const uint64_t *mt_gateway_peers_news (const mt_gateway_peers_t *peers) {
-  return peers->news;
+const uint64_t *mt_gateway_peers_updates (const mt_gateway_peers_t *peers) {
+  return peers->updates;
 }
 
 uint16_t mt_gateway_peers_port (const mt_gateway_peers_t *peers) {
@@ -661,11 +676,11 @@
 
 static void on_closed (uv_handle_t *h) {
   mt_gateway_peers_t *peers = h->data;
-  mt_share_exchange_free(&peers->exchange);
+  mt_share_exchange_free(&peers->share_sync);
   mt_feed_exchange_free(&peers->feeds);
   mt_drain_exchange_free(&peers->draining);
   mt_membership_free(&peers->members);
-  mt_load_reporter_free(&peers->teller);
+  mt_load_reporter_free(&peers->load_reports);
   free(peers);
 }
 
--- a/src/gateway/gateway_settings.c
+++ b/src/gateway/gateway_settings.c
@@ -1,5 +1,5 @@
 /*
-** gateway_settings.c - a gateway's settings, from one JSON object
+** gateway_settings.c - reads a gateway's settings from a JSON object
 */
 #include <stdio.h>
 #include <string.h>
@@ -7,34 +7,41 @@
 
 #include "gateway_settings.h"
 
-#define GRACE_MS 10000
-#define DRAIN_MS 2000   /* an engine that leaves serves on at least so long */
-#define VANISH_PART 0.6 /* of that: an unlisted engine still gets work */
-#define LINES_PER_S 100
-#define DESCRIPTORS 1024
-#define DESCRIPTORS_MOST 65536
-#define RETRY_RATIO 0.1
+/* {== Defaults ========================================================= */
+
+#define STOP_GRACE_MS 10000
+#define DRAIN_MS 2000 /* a draining engine serves at least so long */
+/* Of that: how long an engine that is unlisted without a drain still gets
+   requests. */
+#define UNLISTED_FRACTION 0.6
+#define LOG_LINES_PER_S 100      /* of each priority */
+#define DESCRIPTORS_DEFAULT 1024 /* if the system's limit cannot be read */
+#define DESCRIPTORS_MAX 65536
+#define RETRY_RATIO 0.1 /* retries for each request */
 #define RETRY_WINDOW_MS 10000
-#define RETRY_SLACK 20
-/* Where nothing is declared a cold engine gets just what it bears. */
+#define RETRY_SLACK 20 /* beyond the ratio, of the whole fleet */
+/* Exactly the request rate that is declared for cold engines. */
 #define COLD_OVERAGE 1.0
-#define COLD_SLACK 0.0
-#define RUNNING_PART 0.3 /* of the descriptors: requests in progress */
-#define WAIT_PART 0.45
-#define URGENCY_POWER 1.0
-#define ROOM_PART 0.1
-#define OVER_POWER 10.0
-#define MISS_WEIGHT 50.0
-#define MISS_WEIGHT_EASY 13.0
-#define MOVE_WEIGHT 3.0
+#define COLD_SLACK 0.0       /* requests */
+#define RUNNING_FRACTION 0.3 /* of the descriptors: requests in progress */
+/* Weights and limits of choosing an engine: mt_relay_terms_t in relay.h. */
+#define WAIT_FRACTION 0.45
+#define URGENCY_EXPONENT 1.0
+#define ROOM_FRACTION 0.1
+#define OVER_SHARE_EXPONENT 10.0
+#define PREFILL_WEIGHT 50.0
+#define PREFILL_WEIGHT_UNDER_SHARE 13.0
+#define TRANSFER_WEIGHT 3.0
 /* Of the wait limit, at engines of other failure domains, and the same for a
-   workspace that had its share: bytes between domains are dear, and work
-   abroad displaces what has its parts there. */
-#define FAR_PART 0.6
-#define FAR_PART_OVER 0.1
-/* Keeps requests and answers in their failure domain where that is as good;
-   the value is a guess, no other was measured. */
-#define CROSS_MS 15.0
+   workspace that has had its share: traffic between domains is expensive, and
+   requests of other domains evict segments that are used there. */
+#define REMOTE_WAIT_FRACTION 0.6
+#define REMOTE_WAIT_FRACTION_OVER_SHARE 0.1
+/* Added to the cost of engines in other failure domains: requests stay in
+   their own domain unless another one is faster by so much. */
+#define CROSS_DOMAIN_MS 15.0
+
+/* }== */
 
 static const mt_field_t fields[] = {
     {"node", MT_F_STRING, true, 1, MT_NAME_MAX},
@@ -59,7 +66,8 @@
   mtJ_address(mtJ_str(doc, name, ""), addr->ip, &addr->port);
 }
 
-static double real (const json_t *doc, const char *name, double otherwise) {
+static double get_double (const json_t *doc, const char *name,
+                          double otherwise) {
   const json_t *value = json_object_get(doc, name);
   return json_is_number(value) ? json_number_value(value) : otherwise;
 }
@@ -75,11 +83,11 @@
   }
 }
 
-/* What the system allows the process, where the settings do not say. */
-static int64_t system_descriptors (void) {
+/* The process's limit of file descriptors, the default of that setting. */
+static int64_t descriptor_limit (void) {
   struct rlimit limit;
-  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return DESCRIPTORS;
-  return (int64_t)mt_min(limit.rlim_cur, (rlim_t)DESCRIPTORS_MOST);
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return DESCRIPTORS_DEFAULT;
+  return (int64_t)mt_min(limit.rlim_cur, (rlim_t)DESCRIPTORS_MAX);
 }
 
 static void read_terms (const json_t *doc, mt_relay_terms_t *terms,
@@ -89,34 +97,36 @@
   const json_t *cold = json_object_get(doc, "cold_start");
   json_t *name;
   size_t i;
-  terms->retry.ratio = real(retry, "ratio", RETRY_RATIO);
+  terms->retry.ratio = get_double(retry, "ratio", RETRY_RATIO);
   terms->retry.window = (mt_ms_t)mtJ_int(retry, "window_ms", RETRY_WINDOW_MS);
   terms->retry.slack = (int)mtJ_int(retry, "slack", RETRY_SLACK);
-  terms->cold.overage = real(cold, "overage", COLD_OVERAGE);
-  terms->cold.slack = real(cold, "slack", COLD_SLACK);
-  terms->wait_part = real(relay, "wait_part", WAIT_PART);
-  terms->urgency_power = real(relay, "urgency_power", URGENCY_POWER);
-  terms->room_part = real(relay, "room_part", ROOM_PART);
-  terms->over_power = real(relay, "over_power", OVER_POWER);
-  terms->miss_weight = real(relay, "miss_weight", MISS_WEIGHT);
-  terms->miss_weight_easy = real(relay, "miss_weight_easy", MISS_WEIGHT_EASY);
-  terms->move_weight = real(relay, "move_weight", MOVE_WEIGHT);
-  terms->far_part = real(relay, "far_part", FAR_PART);
-  terms->far_part_over = real(relay, "far_part_over", FAR_PART_OVER);
-  terms->cross_ms = real(relay, "cross_ms", CROSS_MS);
+  terms->cold.overage = get_double(cold, "overage", COLD_OVERAGE);
+  terms->cold.slack = get_double(cold, "slack", COLD_SLACK);
+  terms->wait_part = get_double(relay, "wait_part", WAIT_FRACTION);
+  terms->urgency_power = get_double(relay, "urgency_power", URGENCY_EXPONENT);
+  terms->room_part = get_double(relay, "room_part", ROOM_FRACTION);
+  terms->over_power = get_double(relay, "over_power", OVER_SHARE_EXPONENT);
+  terms->miss_weight = get_double(relay, "miss_weight", PREFILL_WEIGHT);
+  terms->miss_weight_easy =
+      get_double(relay, "miss_weight_easy", PREFILL_WEIGHT_UNDER_SHARE);
+  terms->move_weight = get_double(relay, "move_weight", TRANSFER_WEIGHT);
+  terms->far_part = get_double(relay, "far_part", REMOTE_WAIT_FRACTION);
+  terms->far_part_over =
+      get_double(relay, "far_part_over", REMOTE_WAIT_FRACTION_OVER_SHARE);
+  terms->cross_ms = get_double(relay, "cross_ms", CROSS_DOMAIN_MS);
   json_array_foreach (json_object_get(relay, "off"), i, name) {
     mt_relay_mechanism_t which = mt_relay_mechanism(
         json_string_value(name) ? json_string_value(name) : "");
     if (which < MT_RELAY_MECHANISM_COUNT)
       terms->off[which] = true;
     else
-      mtJ_fault(faults, "relay.off", "names no mechanism");
+      mtJ_fault(faults, "relay.off", "contains an unknown mechanism");
   }
 }
 
 bool mt_gateway_settings_read (const json_t *doc, mt_gateway_settings_t *set,
                                mt_faults_t *faults) {
-  *set = (mt_gateway_settings_t){.grace = GRACE_MS};
+  *set = (mt_gateway_settings_t){.grace = STOP_GRACE_MS};
   mtJ_check(doc, "", fields, mt_countof(fields), faults);
   if (faults->n > 0) return false;
   snprintf(set->node, sizeof set->node, "%s", mtJ_str(doc, "node", ""));
@@ -126,14 +136,15 @@
   read_address(doc, "metrics", &set->metrics);
   read_address(doc, "peers", &set->peers);
   read_seeds(doc, set);
-  set->grace = (mt_ms_t)mtJ_int(doc, "grace_ms", GRACE_MS);
-  set->lines_per_s = (int)mtJ_int(doc, "log_lines_per_s", LINES_PER_S);
-  set->descriptors =
-      (size_t)mtJ_int(doc, "descriptors", system_descriptors());
+  set->grace = (mt_ms_t)mtJ_int(doc, "grace_ms", STOP_GRACE_MS);
+  set->log_lines_per_s =
+      (int)mtJ_int(doc, "log_lines_per_s", LOG_LINES_PER_S);
+  set->descriptors = (size_t)mtJ_int(doc, "descriptors", descriptor_limit());
   read_terms(doc, &set->terms, faults);
-  set->terms.running_most = mt_min((size_t)MT_MAX_RUNNING,
-                                   (size_t)(RUNNING_PART * set->descriptors));
+  set->terms.running_most = mt_min(
+      (size_t)MT_MAX_RUNNING, (size_t)(RUNNING_FRACTION * set->descriptors));
   set->terms.vanish_ms =
-      (mt_ms_t)((double)mtJ_int(doc, "drain_ms", DRAIN_MS) * VANISH_PART);
+      (mt_ms_t)((double)mtJ_int(doc, "drain_ms", DRAIN_MS) *
+                UNLISTED_FRACTION);
   return faults->n == 0;
 }
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -1,5 +1,5 @@
 /*
-** gateway_settings.h - a gateway's settings, from one JSON object
+** gateway_settings.h - reads a gateway's settings from a JSON object
 */
 #ifndef gateway_settings_h
 #define gateway_settings_h
@@ -7,8 +7,9 @@
 #include "gateway.h"
 
 /*
-** Reads and checks the members that a gateway has; every fault is listed.
-** The member "source" is left to whoever opens the source of declarations.
+** Reads and checks the gateway's members and fills in defaults; adds every
+** error to `faults`. False if there is any. The member "source" is left to
+** the client of the configuration source.
 */
 bool mt_gateway_settings_read (const json_t *doc,
                                mt_gateway_settings_t *settings,
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -1,8 +1,9 @@
 /*
-** gateway_state.h - the state of a gateway, for the files that it consists of
+** gateway_state.h - private state of a gateway, shared by its source files
 **
-** gateway.c has the life of connections and of the process, gateway_feeds.c
-** what comes from the source of declarations. Nobody else includes this.
+** gateway.c handles connections and the process's start and stop,
+** gateway_feeds.c changes from the configuration source, gateway_notices.c
+** what engines' answers say about engines. No other file includes this.
 */
 #ifndef gateway_state_h
 #define gateway_state_h
@@ -16,46 +17,54 @@
   mt_gateway_settings_t settings;
   const mt_dialect_t *dialect;
   mt_relay_t *relay;
-  mt_http_server_t *callers, *ready, *metrics;
+  mt_http_server_t *callers, *ready, *metrics; /* listeners */
   mt_http_client_t *engines;
   mt_gateway_peers_t *peers;
   mt_log_writer_t *log;
   uv_timer_t tick;
-  mt_map_t passages;
-  uint64_t next_number;
-  mt_ms_t started, stopping; /* 0: not ordered to stop */
-  mt_ms_t ticked;            /* the last tick, or when it was put off */
-  mt_ms_t pace;              /* until the next */
-  mt_ms_t busy;              /* a request was in progress last */
-  mt_ms_t asleep;            /* that the machine had slept then */
+  mt_map_t inflight_by_number; /* inflight_t (gateway.c), owned */
+  uint64_t next_number;        /* last request number that was given out */
+  mt_ms_t started, stopping;   /* stopping: since then; 0: not */
+  mt_ms_t last_tick; /* time of the last tick, or of the last timer restart */
+  mt_ms_t tick_ms;   /* interval of the tick timer */
+  mt_ms_t last_busy; /* when a request was last in progress */
+  mt_ms_t suspended_ms; /* total time suspended, as of the last tick */
   mt_overload_t overload;
   uint64_t source_events[MT_SOURCE_EVENTS];
-  mt_ms_t restored; /* the source was last; 0: it was not */
-  mt_text_t scratch;
+  mt_ms_t restored_at; /* when the source was last restored; 0: never */
+  mt_strbuf_t scratch; /* for heads and pages that are being written */
 };
 
-/* Takes an event and carries out its effects; sets its time. */
+/* Feeds an event to the relay, with the current time, and carries out the
+   resulting effects. */
 void mt_gateway_step (mt_gateway_t *gateway, mt_relay_event_t *event);
 
-/* An answer of the start `started_at` of an engine began: takes what it says
-   of the engine. */
-void mt_gateway_take_notice (mt_gateway_t *gateway, uint64_t engine,
-                             int64_t started_at, int status,
-                             const mt_http_headers_t *headers);
+/* Applies what the head of an answer says about its engine (draining,
+   backoff). `started_at`: the start of the engine that the request was sent
+   to. */
+void mt_gateway_apply_notice (mt_gateway_t *gateway, uint64_t engine,
+                              int64_t started_at, int status,
+                              const mt_http_headers_t *headers);
 
-/* The peers' call: as in drain_exchange.h. */
-bool mt_gateway_take_peer_drain (void *gateway, const mt_peer_drain_t *told,
-                                 uint32_t router);
+/* Callback of gateway_peers.h: applies a drain notice that another router
+   gossiped. True if it was new and the engine was listed as ready. */
+bool mt_gateway_apply_peer_drain (void *gateway,
+                                  const mt_peer_drain_t *received,
+                                  uint32_t router);
 
-/* The relay's call: an engine is gone; nothing waits for it any more. */
+/* Callback of the relay: an engine is gone and gets no further requests. Logs
+   that and closes idle connections to it. */
 void mt_gateway_engine_gone (void *gateway, const mt_engine_t *engine);
 
-/* An engine has started again under its name: ends what ran there. */
+/* An engine has restarted under its name: the requests that ran there are
+   lost, and idle connections to it are closed. */
 void mt_gateway_engine_restarted (mt_gateway_t *gateway,
                                   const mt_engine_t *engine);
 
-/* The peers' call: another router told of a change at the source. */
-bool mt_gateway_take_change (void *gateway, const mt_change_t *change,
-                             mt_ms_t since);
+/* Callback of gateway_peers.h: applies a change at the source that another
+   router sent; `since`: when a router first read it. False if only the source
+   itself may supply it. */
+bool mt_gateway_apply_change (void *gateway, const mt_change_t *change,
+                              mt_ms_t since);
 
 #endif
--- a/src/gateway/text.c
+++ b/src/gateway/strbuf.c
@@ -1,5 +1,5 @@
 /*
-** text.c - a text that grows
+** strbuf.c - a growable string buffer
 */
 #include <stdarg.h>
 #include <stdio.h>
@@ -10,7 +10,7 @@
 
 #define FORMAT_BYTES 512
 
-void mt_text_add (mt_text_t *text, const char *p, size_t n) {
+void mt_strbuf_append (mt_strbuf_t *text, const char *p, size_t n) {
   if (text->n + n > text->cap) {
     size_t cap = mt_max(text->cap * 2, (size_t)1024);
     while (cap < text->n + n) cap *= 2;
@@ -23,16 +23,16 @@
   text->n += n;
 }
 
-void mt_text_format (mt_text_t *text, const char *format, ...) {
+void mt_strbuf_format (mt_strbuf_t *text, const char *format, ...) {
   char part[FORMAT_BYTES];
   va_list ap;
   va_start(ap, format);
   int n = vsnprintf(part, sizeof part, format, ap);
   va_end(ap);
-  mt_text_add(text, part, mt_min((size_t)n, sizeof part - 1));
+  mt_strbuf_append(text, part, mt_min((size_t)n, sizeof part - 1));
 }
 
-void mt_text_free (mt_text_t *text) {
+void mt_strbuf_free (mt_strbuf_t *text) {
   free(text->p);
-  *text = (mt_text_t){0};
+  *text = (mt_strbuf_t){0};
 }
--- a/src/gateway/suspects_page.c
+++ b/src/gateway/suspects_page.c
@@ -1,5 +1,6 @@
 /*
-** suspects_page.c - what operators see of suspects, and how they clear one
+** suspects_page.c - the operators' page of requests suspected of crashing
+** engines
 */
 #include <stdlib.h>
 #include <string.h>
@@ -9,7 +10,7 @@
 #define PATH "/suspects"
 #define DIGEST_HEX 16
 
-bool mt_suspects_page_is_at (mt_bytes_t target) {
+bool mt_suspects_page_matches (mt_bytes_t target) {
   size_t n = sizeof PATH - 1;
   if (target.n < n || memcmp(target.p, PATH, n) != 0) return false;
   return target.n == n || target.p[n] == '/';
@@ -26,13 +27,13 @@
 }
 
 void mt_suspects_page_list (const mt_suspects_t *suspects, mt_ms_t now,
-                            mt_text_t *out) {
+                            mt_strbuf_t *out) {
   mtV_each (&suspects->by_digest, i) {
     uint64_t digest = suspects->by_digest.keys[i];
     mt_suspect_status_t s = mt_suspects_status(suspects, digest, now);
-    mt_text_format(out,
-                   "digest=%016llx state=%s ends=%d alone=%d left=%llu\n",
-                   (unsigned long long)digest, mt_suspicion_name(s.state),
-                   s.ends, s.alone, (unsigned long long)s.left);
+    mt_strbuf_format(out,
+                     "digest=%016llx state=%s ends=%d alone=%d left=%llu\n",
+                     (unsigned long long)digest, mt_suspicion_name(s.state),
+                     s.ends, s.alone, (unsigned long long)s.left);
   }
 }
--- a/src/gateway/suspects_page.h
+++ b/src/gateway/suspects_page.h
@@ -1,5 +1,6 @@
 /*
-** suspects_page.h - what operators see of suspects, and how they clear one
+** suspects_page.h - the operators' page of requests suspected of crashing
+** engines (suspects.h)
 */
 #ifndef suspects_page_h
 #define suspects_page_h
@@ -7,14 +8,14 @@
 #include "dialect.h"
 #include "suspects.h"
 
-/* "/suspects" or "/suspects/DIGEST" below the metrics address. */
-bool mt_suspects_page_is_at (mt_bytes_t target);
+/* True for the paths "/suspects" and "/suspects/DIGEST". */
+bool mt_suspects_page_matches (mt_bytes_t target);
 
-/* The digest that the path names; 0: none, or not one. */
+/* The digest in the path, 16 hexadecimal digits; 0: none or invalid. */
 uint64_t mt_suspects_page_digest (mt_bytes_t target);
 
-/* One line for each that is known here. */
+/* Appends one line for each suspect that this router knows. */
 void mt_suspects_page_list (const mt_suspects_t *suspects, mt_ms_t now,
-                            mt_text_t *out);
+                            mt_strbuf_t *out);
 
 #endif
--- a/tests/engine_notices_test.cc
+++ b/tests/engine_notices_test.cc
@@ -1,20 +1,11 @@
-// engine_notices_test.cc - what engines say of themselves in their answers
+// engine_notices_test.cc - drain and backoff notices in engines' answers
 //
-// While the store answered nobody an engine said in its answers that it
-// leaves, and routers that had passed these on went on sending it requests;
-// engines that had turned requests away and asked for 3 s of rest got 28 to
-// 39 more in that time. Nothing read what an answer says of the engine
-// itself: it was known in the process and no decision used it, with no other
-// trouble around. A router printed the one line, and later ran at that
-// engine:
-//
-//   t=1796281146.244 node=g0 event=engine engine=i-2 outcome=says-leaving
-//   t=1796281150.567 node=g0 event=request engine=i-2 attempt=1 age=16
-//     status=200 outcome=answered
-//
-// Of 12,663 requests at 12 routers 831 went to an engine more than 2,000 ms
-// after the same router had passed on that it leaves, the last 7,827 ms;
-// 4,817 of 5,556 rests had more than two requests in them.
+// Guards against routers that forward an answer and ignore what it says about
+// the engine. While the store was unreachable, routers went on sending
+// requests to engines whose answers said that they drain: 831 of 12,663
+// requests came more than 2 s after such an answer at the same router, the
+// last one 7.8 s. Engines that had rejected a request and asked for 3 s of
+// backoff got 28 to 39 more requests in that time.
 #include <gtest/gtest.h>
 
 #include "soak/fleet.h"
@@ -23,7 +14,7 @@
 
 using soak::Fleet;
 
-std::string seal_of (const Request &r) {
+std::string answer_fields (const Request &r) {
   return "X-Attempt-Id: " + r.field("X-Attempt-Id") +
          "\r\nX-Engine-Seal: seal-1\r\n";
 }
@@ -35,27 +26,28 @@
          std::to_string(started_at) + "}";
 }
 
-// Two engines of one service; the first says something of itself.
+// Two engines of one service; the first one's answers come from a handler.
+// Only the first one is registered at the start.
 class Pair {
 public:
   World w;
   Listener *first, *second;
   int at_first = 0, at_second = 0;
 
-  explicit Pair(const Handler &says) {
-    first = w.listen([this, says] (Conn &c, const Request &r) {
+  explicit Pair(const Handler &reply) {
+    first = w.listen([this, reply] (Conn &c, const Request &r) {
       at_first++;
-      says(c, r);
+      reply(c, r);
     });
     second = w.listen([this] (Conn &c, const Request &r) {
       at_second++;
-      c.send(answer(200, seal_of(r), "well"));
+      c.send(answer(200, answer_fields(r), "well"));
     });
     w.put("servers/i-1", entry(first, 5));
     w.start();
   }
-  // The second engine serves too from now on.
-  void widen () {
+  // Registers the second engine.
+  void add_second () {
     w.put("servers/i-2", entry(second, 6));
     EXPECT_TRUE(w.until([&] {
       return w.log.find("engine=i-2 address") != std::string::npos;
@@ -70,28 +62,29 @@
   int asked = 100;
 };
 
-// {== Leaving ==============================================================
+// {== Drain ================================================================
 
-// Each kind of answer says so, whoever waits for it and whatever it is.
-TEST(EngineNotices, NothingIsSentToAnEngineThatSaysItLeaves) {
+// A drain notice counts in answers of each kind, whether or not a request
+// waits for them.
+TEST(EngineNotices, SendsNothingToAnEngineThatDrains) {
   struct Row {
     const char *what;
-    Handler says;
+    Handler reply;
     std::string fields; // of the request
   } rows[] = {
       {"a success",
        [] (Conn &c, const Request &r) {
-         c.send(answer(200, seal_of(r) + "Server-Leaving: 1\r\n", "x"));
+         c.send(answer(200, answer_fields(r) + "Server-Leaving: 1\r\n", "x"));
        },
        ""},
       {"another case",
        [] (Conn &c, const Request &r) {
-         c.send(answer(200, seal_of(r) + "server-leaving: 1\r\n", "x"));
+         c.send(answer(200, answer_fields(r) + "server-leaving: 1\r\n", "x"));
        },
        ""},
       {"a failure",
        [] (Conn &c, const Request &r) {
-         c.send(answer(500, seal_of(r) + "Server-Leaving: 1\r\n", "x"));
+         c.send(answer(500, answer_fields(r) + "Server-Leaving: 1\r\n", "x"));
        },
        ""},
       {"not run",
@@ -100,9 +93,9 @@
              answer(503, "X-Not-Executed: 1\r\nServer-Leaving: 1\r\n", ""));
        },
        ""},
-      {"an answer whose rest is still to come",
+      {"an answer that is not complete yet",
        [] (Conn &c, const Request &r) {
-         c.send("HTTP/1.1 200 OK\r\n" + seal_of(r) +
+         c.send("HTTP/1.1 200 OK\r\n" + answer_fields(r) +
                 "Server-Leaving: 1\r\nContent-Length: 100\r\n\r\nsome");
        },
        "X-Deadline-Ms: 300\r\n"},
@@ -112,24 +105,24 @@
                        "X-Attempt-Id: other\r\nX-Engine-Seal: s\r\n"
                        "Server-Leaving: 1\r\n",
                        "other") +
-                answer(200, seal_of(r), "mine"));
+                answer(200, answer_fields(r), "mine"));
        },
        ""},
   };
   for (const Row &row : rows) {
     SCOPED_TRACE(row.what);
-    Pair p(row.says);
+    Pair p(row.reply);
     Conn *c = p.w.connect(p.w.callers);
     c->send(World::ask("/safe/x", "first", "", row.fields));
     ASSERT_TRUE(p.w.until([&] {
       return p.w.log.find("engine=i-1 address") != std::string::npos &&
              p.w.log.find("outcome=says-leaving") != std::string::npos;
     }));
-    p.widen();
+    p.add_second();
     p.at_first = 0;
     p.ask(20);
     EXPECT_EQ(p.at_first, 0);
-    // The store still says that it is ready, and says so anew.
+    // The store still lists it as ready and repeats that entry.
     p.w.put("servers/i-1", entry(p.first, 5));
     p.w.put("servers/i-3", entry(p.second, 7));
     ASSERT_TRUE(p.w.until([&] {
@@ -137,7 +130,7 @@
     }));
     p.ask(20);
     EXPECT_EQ(p.at_first, 0);
-    // Another start of it does not leave.
+    // A restart of the engine ends the drain.
     p.w.put("servers/i-1", entry(p.first, 9));
     ASSERT_TRUE(p.w.until([&] {
       p.ask(1);
@@ -148,21 +141,22 @@
 
 // }==
 
-// {== Rest =================================================================
+// {== Backoff ==============================================================
 
-TEST(EngineNotices, AnEngineThatAsksForRestHasIt) {
+TEST(EngineNotices, HonorsRetryAfter) {
   struct Row {
     const char *what, *fields;
-    bool rests;
+    bool backs_off;
   } rows[] = {
-      {"for long", "X-Not-Executed: 1\r\nRetry-After: 50\r\n", true},
+      {"a long time", "X-Not-Executed: 1\r\nRetry-After: 50\r\n", true},
       {"a fraction", "X-Not-Executed: 1\r\nRetry-After: 49.5\r\n", true},
-      {"without end", "X-Not-Executed: 1\r\nRetry-After: 1e30\r\n", true},
-      {"it may have run", "Retry-After: 50\r\n", true},
-      {"twice", "X-Not-Executed: 1\r\nRetry-After: 0\r\nRetry-After: 50\r\n",
-       true},
-      {"for no time", "X-Not-Executed: 1\r\nRetry-After: 0\r\n", false},
-      {"for less", "X-Not-Executed: 1\r\nRetry-After: -5\r\n", false},
+      {"a number too large for ms",
+       "X-Not-Executed: 1\r\nRetry-After: 1e30\r\n", true},
+      {"the request may have run", "Retry-After: 50\r\n", true},
+      {"two fields",
+       "X-Not-Executed: 1\r\nRetry-After: 0\r\nRetry-After: 50\r\n", true},
+      {"zero", "X-Not-Executed: 1\r\nRetry-After: 0\r\n", false},
+      {"negative", "X-Not-Executed: 1\r\nRetry-After: -5\r\n", false},
       {"a date",
        "X-Not-Executed: 1\r\nRetry-After: Fri, 01 Jan 2100 00:00:00 GMT\r\n",
        false},
@@ -175,9 +169,9 @@
     });
     p.ask(1);
     EXPECT_EQ(p.at_first, 1);
-    p.widen();
+    p.add_second();
     p.at_first = 0;
-    if (row.rests) {
+    if (row.backs_off) {
       p.ask(40);
       EXPECT_EQ(p.at_first, 0);
       EXPECT_EQ(p.at_second, 40);
@@ -192,10 +186,11 @@
 
 // }==
 
-// {== What routers tell each other =========================================
+// {== Gossip between routers ===============================================
 
-// Gateways of both failure domains know what one of them has passed on.
-TEST(EngineNotices, WhatOneRouterHeardAllKnow) {
+// A drain notice that one gateway received reaches the gateways of both
+// failure domains.
+TEST(EngineNotices, DrainIsGossipedToAllRouters) {
   Fleet fleet(5);
   ASSERT_TRUE(fleet.begins());
   std::string engine = fleet.world.plains[0];
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -1,4 +1,4 @@
-// gateway_test.cc - a real gateway between scripted callers, engines, store.
+// gateway_test.cc - a gateway with scripted callers, engines and store
 #include <gtest/gtest.h>
 
 #include <msgpack.h>
@@ -19,8 +19,8 @@
   return end == std::string::npos ? "" : in.substr(end + 4);
 }
 
-// The usual answer of an engine.
-std::string good (const Request &r, const std::string &body) {
+// A successful answer of an engine.
+std::string ok_answer (const Request &r, const std::string &body) {
   return answer(200,
                 "X-Attempt-Id: " + r.field("X-Attempt-Id") +
                     "\r\nX-Engine-Seal: seal-1\r\n",
@@ -47,12 +47,12 @@
 
 // }==
 
-TEST(Gateway, PassesRequestAndAnswerOn) {
+TEST(Gateway, ForwardsRequestAndAnswer) {
   World w;
   Request seen;
   Listener *e = w.listen([&] (Conn &c, const Request &r) {
     seen = r;
-    c.send(good(r, "the bytes"));
+    c.send(ok_answer(r, "the bytes"));
   });
   w.engine("i-1", "plain", e);
   w.start();
@@ -75,8 +75,9 @@
   EXPECT_LE(std::stoi(seen.field("X-Deadline-Ms")), 3000);
 }
 
-// What engines do wrong, and what the caller may get of it.
-TEST(Gateway, BrokenAnswersAreNotPassedOnAsWhole) {
+// Engines' answers that are cut, invalid, or to another request: the caller
+// never gets a truncated or foreign answer that looks complete.
+TEST(Gateway, BrokenAnswersAreNotForwardedAsComplete) {
   struct Row {
     const char *name, *path;
     std::function<void(Conn &, const Request &)> misbehave;
@@ -85,14 +86,14 @@
   } rows[] = {
       {"reset in the body", "/once/x",
        [] (Conn &c, const Request &r) {
-         std::string text = good(r, "0123456789");
+         std::string text = ok_answer(r, "0123456789");
          c.send(text.substr(0, text.size() - 4));
          c.abort();
        },
        502, nullptr},
       {"closed in the body", "/once/x",
        [] (Conn &c, const Request &r) {
-         std::string text = good(r, "0123456789");
+         std::string text = ok_answer(r, "0123456789");
          c.send(text.substr(0, text.size() - 4));
          c.close();
        },
@@ -106,7 +107,7 @@
        [] (Conn &c, const Request &r) {
          c.send(answer(200, "X-Attempt-Id: other\r\nX-Engine-Seal: s\r\n",
                        "other"));
-         c.send(good(r, "mine"));
+         c.send(ok_answer(r, "mine"));
        },
        200, "mine"},
       {"not run", "/once/x",
@@ -135,27 +136,30 @@
   World w;
   int n = 0;
   Listener *e = w.listen([&] (Conn &c, const Request &r) {
-    std::string text = good(r, "answer " + std::to_string(++n));
-    c.send(n == 1 ? text + good(r, "surplus") : text);
+    std::string text = ok_answer(r, "answer " + std::to_string(++n));
+    c.send(n == 1 ? text + ok_answer(r, "surplus") : text);
   });
   w.engine("i-1", "plain", e);
   w.start();
   EXPECT_EQ(body_of(w.call(World::ask("/safe/x", "id1"))), "answer 1");
   EXPECT_EQ(body_of(w.call(World::ask("/safe/x", "id2"))), "answer 2");
-  EXPECT_EQ(e->taken, 2); // the first connection is not used again
+  EXPECT_EQ(e->accepted, 2); // the first connection is not reused
 }
 
-// An engine answers before it has read a long body, and reads on later: no
-// other bytes may come where the rest of that body is due.
-TEST(Gateway, TheRestOfABodyIsNotMixedWithOtherBytes) {
+// An engine answers before it has read a long body. If the connection were
+// reused, the next request would arrive where the engine still expects the
+// rest of that body.
+TEST(Gateway, EarlyAnswerDoesNotCorruptTheRequestBody) {
   World w;
   std::vector<std::pair<std::string, std::string>> seen; // id, body
   Listener *e = w.listen([&] (Conn &c, const Request &r) {
     seen.push_back({r.field("X-Attempt-Id"), r.body});
   });
-  int small = 2048; // the gateway cannot hand over a long body at once
+  int small = 2048; // a long body does not fit into the socket's buffers
   setsockopt(e->fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-  e->early = [] (Conn &c, const Request &r) { c.send(good(r, "early")); };
+  e->early = [] (Conn &c, const Request &r) {
+    c.send(ok_answer(r, "early"));
+  };
   w.engine("i-1", "plain", e);
   w.start();
   const std::string bodies[] = {std::string(90000, 'a'), "b",
@@ -171,10 +175,10 @@
     ASSERT_EQ(s.first.size(), 3u);
     EXPECT_EQ(s.second, bodies[s.first[2] - '0']) << s.first;
   }
-  EXPECT_GE(seen.size(), 2u); // the short ones at least came whole
+  EXPECT_GE(seen.size(), 2u); // at least the short ones arrived complete
 }
 
-TEST(Gateway, AnAnswerWithoutLengthStaysWithout) {
+TEST(Gateway, AnswerWithoutLengthIsForwardedWithoutLength) {
   World w;
   Listener *e = w.listen([&] (Conn &c, const Request &r) {
     c.send("HTTP/1.1 200 OK\r\nX-Engine-Seal: s\r\nX-Attempt-Id: " +
@@ -191,7 +195,7 @@
   EXPECT_EQ(c->in.find("chunked"), c->in.npos);
 }
 
-TEST(Gateway, AStreamGoesOnAtAnotherEngine) {
+TEST(Gateway, StreamResumesAtAnotherEngine) {
   World w;
   std::string last;
   int first = 0;
@@ -221,7 +225,7 @@
   }
 }
 
-TEST(Gateway, ACallerThatLeavesEndsTheWork) {
+TEST(Gateway, CallerDisconnectCancelsTheRequest) {
   World w;
   Conn *at_engine = nullptr;
   Listener *e = w.listen([&] (Conn &c, const Request &r) { at_engine = &c; });
@@ -234,12 +238,12 @@
   EXPECT_TRUE(w.until([&] { return at_engine->closed; }));
 }
 
-// A gateway that is held up finds requests and their callers' ends together.
-// Only what somebody still waits for is sent on.
-TEST(Gateway, SendsNothingOnForACallerThatHasLeft) {
+// A gateway that was delayed finds a request and its caller's disconnect in
+// the same loop iteration. Such a request must not be forwarded.
+TEST(Gateway, DoesNotForwardRequestsOfDisconnectedCallers) {
   struct Row {
     const char *what;
-    bool kept;  // the connection had another request before
+    bool kept;  // the connection has served another request before
     bool reset; // else it is closed
   } rows[] = {{"closed", false, false},
               {"reset", false, true},
@@ -250,7 +254,7 @@
     std::map<std::string, int> ran;
     Listener *e = w.listen([&] (Conn &c, const Request &r) {
       ran[r.field("X-Attempt-Id")]++;
-      c.send(good(r, "done"));
+      c.send(ok_answer(r, "done"));
     });
     w.engine("i-1", "plain", e);
     w.start();
@@ -271,12 +275,12 @@
   }
 }
 
-TEST(Gateway, FollowsTheStore) {
+TEST(Gateway, AppliesStoreChanges) {
   World w;
   std::map<std::string, int> ran;
   Handler handler = [&] (Conn &c, const Request &r) {
     ran[r.field("X-Expect-Instance")]++;
-    c.send(good(r, "x"));
+    c.send(ok_answer(r, "x"));
   };
   Listener *e1 = w.listen(handler), *e2 = w.listen(handler);
   w.engine("i-1", "plain", e1);
@@ -305,10 +309,10 @@
   EXPECT_EQ(World::status_of(w.call(World::ask("/safe/x", "id5"))), 401);
 }
 
-TEST(Gateway, CountsWhatItTellsOthers) {
+TEST(Gateway, CountsPeerTraffic) {
   World w;
   w.engine("i-1", "plain", w.listen([] (Conn &, const Request &) {}));
-  w.seeds = "\"127.0.0.9:1\""; // nobody is there
+  w.seeds = "\"127.0.0.9:1\""; // no router listens there
   w.start();
   std::string metrics;
   EXPECT_TRUE(w.until([&] {
@@ -326,24 +330,24 @@
       metrics.npos);
 }
 
-// A list from the past names the store's revision of now: what it does not
-// show yet must still be learnt.
-TEST(Gateway, AListFromThePastIsNotTakenAtItsWord) {
+// A stale list carries the store's current revision though it lacks recent
+// changes, which the gateway must still read.
+TEST(Gateway, StaleListIsNotTakenAsCurrent) {
   World w;
   int ran = 0;
   Listener *e1 = w.listen([&] (Conn &c, const Request &r) {
     ran++;
-    c.send(good(r, "x"));
+    c.send(ok_answer(r, "x"));
   });
-  Listener *e2 =
-      w.listen([&] (Conn &c, const Request &r) { c.send(good(r, "x")); });
+  Listener *e2 = w.listen(
+      [&] (Conn &c, const Request &r) { c.send(ok_answer(r, "x")); });
   w.engine("i-1", "plain", e1);
   w.engine("i-2", "plain", e2);
-  w.past = w.items;
+  w.stale_items = w.items;
   w.engine("i-1", "plain", e1, "draining");
   w.seeds = "\"127.0.0.1:9\"";
   w.start();
-  EXPECT_GT(w.past_asked, 0);
+  EXPECT_GT(w.stale_lists_served, 0);
   ASSERT_TRUE(w.until(
       [&] { return w.log.find("running=0 outcome=leaving") != w.log.npos; }));
   int before = ran;
@@ -352,7 +356,7 @@
   EXPECT_EQ(ran, before);
 }
 
-TEST(Gateway, APlannedStopFinishesWhatIsAtHand) {
+TEST(Gateway, GracefulStopFinishesRequestsInProgress) {
   World w;
   Conn *at_engine = nullptr;
   Request asked;
@@ -369,7 +373,7 @@
   ASSERT_TRUE(
       w.until([&] { return w.log.find("event=stopping") != w.log.npos; }));
   EXPECT_EQ(w.ask_ready(), 503);
-  at_engine->send(good(asked, "done"));
+  at_engine->send(ok_answer(asked, "done"));
   EXPECT_TRUE(w.until([&] { return World::whole(c->in); }));
   EXPECT_EQ(body_of(c->in), "done");
   EXPECT_NE(c->in.find("Connection: close"), c->in.npos);
@@ -380,20 +384,20 @@
   EXPECT_EQ(status, 0);
 }
 
-// A signal that comes while the settings are read neither ends the process
-// nor is lost. Seen once of a gateway that was stopped as it started: "g3:
-// ended by itself, status 15".
-TEST(Gateway, OutlivesSignalsWhileItStarts) {
+// A signal that arrives while the settings are read neither kills the process
+// nor is lost. SIGTERM at that moment once ended a gateway with status 15 in
+// place of an orderly stop.
+TEST(Gateway, HandlesSignalsDuringStartup) {
   struct Row {
     int signal;
-    bool serves; // else it ends as planned
+    bool serves; // else it stops in order
   } rows[] = {{SIGTERM, false}, {SIGINT, false}, {SIGHUP, true}};
   for (const Row &row : rows) {
     World w;
     std::string fifo = w.dir + "/settings.json";
     ASSERT_EQ(mkfifo(fifo.c_str(), 0600), 0);
     w.launch(fifo);
-    int settings = open(fifo.c_str(), O_WRONLY); // it waits for them
+    int settings = open(fifo.c_str(), O_WRONLY); // the gateway waits for them
     ASSERT_GE(settings, 0);
     kill(w.pid, row.signal);
     std::string text = w.settings();
@@ -413,12 +417,13 @@
   }
 }
 
-// More callers than descriptors: idle connections give way to new ones.
-TEST(Gateway, ServesBeyondItsDescriptors) {
+// More connections of callers than descriptors: idle ones are closed for new
+// ones, those that have been idle longest first.
+TEST(Gateway, ClosesIdleConnectionsAtTheDescriptorLimit) {
   World w;
   w.descriptors = 100;
-  Listener *e =
-      w.listen([&] (Conn &c, const Request &r) { c.send(good(r, "x")); });
+  Listener *e = w.listen(
+      [&] (Conn &c, const Request &r) { c.send(ok_answer(r, "x")); });
   w.engine("i-1", "plain", e);
   w.start();
   std::vector<Conn *> idle;
@@ -434,15 +439,15 @@
   }));
   for (int i = 0; i < 5; i++)
     EXPECT_EQ(World::status_of(w.call(World::ask("/safe/x", "id1"))), 200);
-  EXPECT_FALSE(idle.back()->closed); // the one that rested least
+  EXPECT_FALSE(idle.back()->closed); // the last to be idle
 }
 
-// Operators empty a failure domain and use it again; a watch tells, or a
-// list.
-TEST(Gateway, SendsNothingToADomainThatIsEmptied) {
+// Operators evacuate a failure domain and end that; the gateway learns it
+// from a watch or a list.
+TEST(Gateway, SendsNothingToAnEvacuatedDomain) {
   World w;
-  Listener *e =
-      w.listen([&] (Conn &c, const Request &r) { c.send(good(r, "x")); });
+  Listener *e = w.listen(
+      [&] (Conn &c, const Request &r) { c.send(ok_answer(r, "x")); });
   w.engine("i-1", "plain", e);
   w.put("op/evacuate/d1", "{}"); // before the gateway starts
   w.put("op/evacuate/d9", "{}"); // where it has no engine
@@ -467,21 +472,22 @@
   ASSERT_TRUE(said("d1", "begun"));
   EXPECT_EQ(status(), 503);
   w.remove("op/evacuate/d1", false);
-  w.forget(); // only a list shows that it is over
+  w.compact(); // only a list shows the end of the evacuation
   ASSERT_TRUE(said("d1", "over"));
   EXPECT_EQ(status(), 200);
   EXPECT_EQ(w.log.find("domain=d9 outcome=over"), w.log.npos);
 }
 
-// Datagrams come from anybody: none may end or mislead a gateway.
-TEST(Gateway, OutlivesAnyDatagram) {
+// Datagrams are not authenticated: no invalid one may crash a gateway or
+// disturb its requests.
+TEST(Gateway, SurvivesInvalidDatagrams) {
   World w;
-  Listener *e =
-      w.listen([&] (Conn &c, const Request &r) { c.send(good(r, "x")); });
+  Listener *e = w.listen(
+      [&] (Conn &c, const Request &r) { c.send(ok_answer(r, "x")); });
   w.engine("i-1", "plain", e);
   w.start();
-  // 21 numbers, then lists: members, shares, engines, parts, changes,
-  // suspects, a word.
+  // The format: 21 numbers, then lists of members, shares, engines,
+  // segments, changes, suspects, and a report on a suspect.
   auto message = [] (uint64_t kind, const std::vector<uint64_t> &rows,
                      uint64_t rest = 1, size_t lists = 7) {
     msgpack_sbuffer out;
@@ -489,7 +495,7 @@
     msgpack_sbuffer_init(&out);
     msgpack_packer_init(&pk, &out, msgpack_sbuffer_write);
     msgpack_pack_array(&pk, 21 + lists);
-    msgpack_pack_uint64(&pk, 8); // of the format
+    msgpack_pack_uint64(&pk, 8); // version of the format
     msgpack_pack_uint64(&pk, kind);
     for (int i = 2; i < 21; i++) msgpack_pack_uint64(&pk, rest);
     for (size_t list = 0; list < lists; list++) {
@@ -505,14 +511,15 @@
   std::vector<std::string> datagrams = {
       "", "x", std::string(1000, '\xc1'),
       std::string("\xdd\xff\xff\xff\xff", 5), whole};
-  for (uint64_t kind = 0; kind < 16; kind++) { // two of them unknown
+  for (uint64_t kind = 0; kind < 16; kind++) { // two of them are undefined
     datagrams.push_back(message(kind, {}));
     datagrams.push_back(message(kind, {0, 0, 0, 0, 0, 5, 9}));
     datagrams.push_back(message(kind, {0, 0, 0, 0, 0, 5, 9}, most));
     datagrams.push_back(message(kind, std::vector<uint64_t>(10, most), most));
     datagrams.push_back(message(kind, std::vector<uint64_t>(3, 9), 60000));
     datagrams.push_back(message(kind, std::vector<uint64_t>(1500, 9)));
-    for (uint64_t n = 0; n < 6; n++) // words of each kind, rows of each state
+    // Reports of each kind, rows of each state.
+    for (uint64_t n = 0; n < 6; n++)
       datagrams.push_back(message(kind, {n, 7, n, 9, 1, 5, 600, n}));
     datagrams.push_back(message(kind, {1, 2, 3}, 1, 3));
   }
@@ -536,9 +543,9 @@
   close(fd);
 }
 
-// A router that starts again within its neighbours' patience has lost what
-// they told it.
-TEST(Gateway, TellsARestartedRouterWhatItLost) {
+// A router that restarts before its peers count it as down has lost what they
+// sent it: each new process gets the list of members.
+TEST(Gateway, SendsMembersToARestartedRouter) {
   World w;
   w.engine("i-1", "plain", w.listen([] (Conn &, const Request &) {}));
   int fd = socket(AF_INET, SOCK_DGRAM, 0);
@@ -570,13 +577,13 @@
   close(fd);
 }
 
-// Others tell what engines do; where one is only the store may say. What
-// ends is taken though something before it is missing, and nothing older
-// undoes it.
-TEST(Gateway, HearsOfEnginesFromOthers) {
+// Changes of engines come from other routers, but new engines and addresses
+// are only accepted from the store. A drain or removal is applied even if
+// earlier changes are missing, and no older change undoes it.
+TEST(Gateway, AppliesEngineChangesFromPeers) {
   World w;
-  Listener *e =
-      w.listen([&] (Conn &c, const Request &r) { c.send(good(r, "x")); });
+  Listener *e = w.listen(
+      [&] (Conn &c, const Request &r) { c.send(ok_answer(r, "x")); });
   w.engine("i-1", "plain", e);
   w.start();
   sockaddr_in to = loopback(w.port("peers="));
@@ -585,9 +592,10 @@
   sockaddr_in from = loopback(0);
   inet_pton(AF_INET, "127.0.0.2", &from.sin_addr);
   ASSERT_EQ(bind(fd, (sockaddr *)&from, sizeof from), 0);
-  // `newest`: what others told the sender, beyond what it has itself.
-  auto tell = [&] (int64_t base, int64_t reach, int64_t newest,
-                   const mt_change_t &change) {
+  // Sends one change. `newest`: the last change that the sender knows to
+  // exist.
+  auto send_update = [&] (int64_t base, int64_t reach, int64_t newest,
+                          const mt_change_t &change) {
     auto m = std::make_unique<mt_peer_message_t>();
     char bytes[MT_PEER_DATAGRAM_MAX];
     mt_peer_message_begin(m.get(), MT_PEER_CHANGES);
@@ -598,7 +606,7 @@
     size_t n = mt_peer_message_pack(m.get(), bytes, sizeof bytes);
     sendto(fd, bytes, n, 0, (sockaddr *)&to, sizeof to);
   };
-  auto said = [&] (const std::string &event, const std::string &outcome) {
+  auto logged = [&] (const std::string &event, const std::string &outcome) {
     size_t at = 0;
     while ((at = w.log.find(event, at)) != w.log.npos) {
       size_t end = w.log.find('\n', at);
@@ -607,24 +615,25 @@
     }
     return false;
   };
-  ASSERT_TRUE(w.until([&] { return said("engine=i-1 ", "outcome=ready"); }));
+  ASSERT_TRUE(
+      w.until([&] { return logged("engine=i-1 ", "outcome=ready"); }));
   const auto ready = MT_CHANGE_ENGINE_READY,
-             leaving = MT_CHANGE_ENGINE_DRAINING,
+             draining = MT_CHANGE_ENGINE_DRAINING,
              gone = MT_CHANGE_ENGINE_GONE;
   struct Row {
     const char *name, *ip;
     mt_change_kind_t kind;
-    int64_t base, reach, newest; // beyond the store's revision
-    const char *news;            // what the gateway makes of them
-    int status;                  // of a request behind that
+    int64_t base, reach, newest; // relative to the store's revision
+    const char *outcome;         // the gateway's outcome of the update
+    int status;                  // of a request after that
   } rows[] = {
-      {"i-new", "127.0.0.1", ready, 0, 1, 1, "taken", 200}, // only the store
-      {"i-1", "127.0.0.9", ready, 1, 2, 2, "taken", 200},   // nor move one
-      {"i-1", "127.0.0.9", leaving, 2, 3, 3, "taken", 200}, // another engine
-      {"i-9", "127.0.0.1", gone, 3, 4, 9, "taken", 200},    // of no interest
-      {"i-1", "127.0.0.1", leaving, 6, 7, 9, "gap", 503},   // it leaves
-      {"i-1", "127.0.0.1", ready, 4, 5, 9, "taken", 503},   // that is older
-      {"i-1", "127.0.0.1", ready, 5, 8, 9, "taken", 200}};  // and that newer
+      {"i-new", "127.0.0.1", ready, 0, 1, 1, "taken", 200},  // new: ignored
+      {"i-1", "127.0.0.9", ready, 1, 2, 2, "taken", 200},    // new address
+      {"i-1", "127.0.0.9", draining, 2, 3, 3, "taken", 200}, // no such engine
+      {"i-9", "127.0.0.1", gone, 3, 4, 9, "taken", 200},     // not known
+      {"i-1", "127.0.0.1", draining, 6, 7, 9, "gap", 503},   // drains
+      {"i-1", "127.0.0.1", ready, 4, 5, 9, "taken", 503},    // older
+      {"i-1", "127.0.0.1", ready, 5, 8, 9, "taken", 200}};   // newer
   for (const Row &row : rows) {
     mt_change_t change =
         mt_change_make(row.kind, row.name, w.rev + row.reach);
@@ -634,23 +643,24 @@
     snprintf(engine.service, sizeof engine.service, "plain");
     engine.port = (uint16_t)e->port;
     engine.slots = 8;
-    tell(w.rev + row.base, w.rev + row.reach, w.rev + row.newest, change);
-    std::string news = "event=news peer=127.0.0.2 feed=engines base=" +
-                       std::to_string(w.rev + row.base) +
-                       " reach=" + std::to_string(w.rev + row.reach);
+    send_update(w.rev + row.base, w.rev + row.reach, w.rev + row.newest,
+                change);
+    std::string update = "event=news peer=127.0.0.2 feed=engines base=" +
+                         std::to_string(w.rev + row.base) +
+                         " reach=" + std::to_string(w.rev + row.reach);
     EXPECT_TRUE(w.until([&] {
-      return said(news, std::string("outcome=") + row.news);
-    })) << news
-        << " " << row.news;
+      return logged(update, std::string("outcome=") + row.outcome);
+    })) << update
+        << " " << row.outcome;
     EXPECT_EQ(World::status_of(w.call(World::ask("/safe/x", "id1"))),
               row.status)
-        << news;
+        << update;
     EXPECT_EQ(w.log.find("engine=i-new"), w.log.npos);
   }
   close(fd);
 }
 
-// From the id of a failed request to its cause, by the command alone.
+// `martentiller explain ID` prints the cause of a failed request.
 TEST(Gateway, ExplainNamesTheCause) {
   struct Row {
     const char *name;
@@ -689,10 +699,10 @@
   }
 }
 
-TEST(Gateway, ServesWhenNobodyReadsItsLog) {
+TEST(Gateway, ServesWhenItsLogIsNotRead) {
   World w;
-  Listener *e =
-      w.listen([&] (Conn &c, const Request &r) { c.send(good(r, "x")); });
+  Listener *e = w.listen(
+      [&] (Conn &c, const Request &r) { c.send(ok_answer(r, "x")); });
   w.engine("i-1", "plain", e);
   w.start(false);
   Conn *c = w.connect(w.callers);
@@ -705,7 +715,7 @@
   close(w.pending_prefill);
 }
 
-TEST(Gateway, ReadsCallersByTheRules) {
+TEST(Gateway, ParsesCallerRequests) {
   struct Row {
     const char *name;
     std::string text;
@@ -732,13 +742,13 @@
       {"no key", "GET /safe/x HTTP/1.1\r\nHost: h.example\r\n\r\n", 401},
   };
   World w;
-  Listener *e =
-      w.listen([&] (Conn &c, const Request &r) { c.send(good(r, r.body)); });
+  Listener *e = w.listen(
+      [&] (Conn &c, const Request &r) { c.send(ok_answer(r, r.body)); });
   w.engine("i-1", "plain", e);
   w.start();
   for (const Row &row : rows)
     EXPECT_EQ(World::status_of(w.call(row.text)), row.status) << row.name;
-  // In chunks and in pieces, and two requests sent ahead.
+  // A chunked body, byte by byte; then two pipelined requests.
   Conn *c = w.connect(w.callers);
   std::string head =
       "POST /safe/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: id1\r\n"
--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -1,5 +1,6 @@
-// gateway_world.h - a gateway's surroundings, by hand: callers, engines,
-// store.
+// gateway_world.h - a gateway with scripted callers, engines and store
+//
+// Everything runs in one thread: sockets make progress in pump() and until().
 #ifndef tests_gateway_world_h
 #define tests_gateway_world_h
 
@@ -27,14 +28,14 @@
 
 namespace {
 
-// {== Sockets by hand ======================================================
+// {== Sockets ==============================================================
 
-// A connection; `in` holds what came and was not taken.
+// A connection; `in` holds bytes that were received and not yet consumed.
 struct Conn {
   int fd;
   std::string in;
   bool closed = false, reset = false;
-  bool answered = false; // before the body was there
+  bool answered = false; // the listener's `early` was called for this request
   void *listener = nullptr;
 
   void send (const std::string &text) {
@@ -57,6 +58,7 @@
   }
 };
 
+// `head` is the start line and header fields, each after a CRLF.
 struct Request {
   std::string head, body;
   std::string field (const std::string &name) const {
@@ -75,11 +77,11 @@
 struct Listener {
   int fd, port;
   Handler handler;
-  int taken = 0; // connections
-  Handler early; // called as soon as a head is there, before its body
+  int accepted = 0; // connections
+  Handler early; // called when a head has come, before its body; may be null
 };
 
-std::string encode (const std::string &text) {
+std::string base64 (const std::string &text) {
   std::string out((text.size() + 2) / 3 * 4 + 1, '\0');
   int n =
       EVP_EncodeBlock((unsigned char *)out.data(),
@@ -88,6 +90,7 @@
   return out;
 }
 
+// An HTTP answer; each of `fields` ends with CRLF.
 std::string answer (int status, const std::string &fields,
                     const std::string &body) {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + fields +
@@ -104,39 +107,43 @@
 
 // }==
 
-// {== The world around one gateway =========================================
+// {== One gateway and its surroundings =====================================
 
+// An entry of the store.
 struct Item {
   std::string value;
   long rev;
 };
 
+// The gateway process, its configuration store, and the connections and
+// listeners of callers and engines.
 struct World {
   std::list<Conn> conns;
   std::list<Listener> listeners;
-  std::map<std::string, Item> items;
-  long rev = 10;
+  std::map<std::string, Item> items; // the store's entries
+  long rev = 10;                     // the store's revision
+  // A watch call that waits for changes after a revision.
   struct Watch {
     Conn *conn;
     std::string prefix;
     long since;
   };
   std::vector<Watch> watches;
-  std::map<std::string, long> removed; // keys -> revision
-  std::set<std::string> forgot;        // ranges whose next watch gets 410
-  std::map<std::string, Item> past;    // what lists from the past show
-  int past_asked = 0;
-  int era = 0; // that the store's answers name; 0: they name none
-  int lists_asked = 0, watches_gone = 0;
-  size_t page = 0; // items of one answer; 0: all
-  // Called behind each answer to a list, with its range.
+  std::map<std::string, long> removed; // key -> revision of its removal
+  std::set<std::string> compacted;     // key ranges whose next watch gets 410
+  std::map<std::string, Item> stale_items; // in stale lists; empty: none
+  int stale_lists_served = 0;
+  int era = 0; // the store's era, in its answers; 0: not named
+  int lists_asked = 0, watches_gone = 0; // lists served; watches with 410
+  size_t page = 0; // most items of one answer to a list; 0: no limit
+  // Called after each answer to a list, with its range.
   std::function<void(const std::string &)> on_list;
-  std::string seeds; // addresses of other routers, quoted
+  std::string seeds; // addresses of other routers, as JSON strings
   Listener *store;
-  pid_t pid = -1;
-  int out = -1;
+  pid_t pid = -1; // the gateway's process
+  int out = -1;   // pipe from its standard output
   std::string log, dir;
-  int callers = 0, ready = 0, metrics = 0;
+  int callers = 0, ready = 0, metrics = 0; // its ports
 
   World() {
     char name[] = "/tmp/mt-gateway-XXXXXX";
@@ -211,7 +218,8 @@
             "\",\"zone\":\"d1\",\"slots\":8,\"state\":\"" + state + "\"}");
   }
 
-  // Sockets that are ready are read; whole requests go to their handlers.
+  // Reads all sockets that are ready, waiting up to 20 ms for one; complete
+  // requests go to their handlers.
   void pump () {
     std::vector<pollfd> fds;
     std::vector<void *> owners;
@@ -236,7 +244,7 @@
   void accept_one (Listener &l) {
     int fd = accept(l.fd, nullptr, nullptr);
     if (fd < 0) return;
-    l.taken++;
+    l.accepted++;
     conns.push_back({fd, ""});
     conns.back().listener = &l;
   }
@@ -275,6 +283,7 @@
     ::close(out);
     out = -1;
   }
+  // Moves one complete request out of `in`; false if there is none.
   static bool take (std::string &in, Request &r) {
     size_t end = in.find("\r\n\r\n");
     if (end == std::string::npos) return false;
@@ -287,7 +296,7 @@
     return true;
   }
 
-  // Waits for a condition; the bound only ends a test that has failed.
+  // Runs until a condition holds; the limit only ends a test that has failed.
   bool until (const std::function<bool()> &cond) {
     for (int i = 0; i < 1500; i++) {
       if (cond()) return true;
@@ -300,37 +309,39 @@
 
   std::string item (const std::string &key) {
     const Item &i = items[key];
-    return "{\"key\":\"" + key + "\",\"value\":\"" + encode(i.value) +
+    return "{\"key\":\"" + key + "\",\"value\":\"" + base64(i.value) +
            "\",\"rev\":" + std::to_string(i.rev) + "}";
   }
+  // Answers a list or watch call. A watch waits until there are changes.
   void serve_store (Conn &c, const Request &r) {
     std::string line = r.line();
     size_t at = line.find("path_prefix=") + 12;
     std::string prefix = line.substr(at, line.find_first_of("& ", at) - at);
     if (line.find("/-/kv-watch") != std::string::npos) {
       long since = std::stol(line.substr(line.find("since_rev=") + 10));
-      if (forgot.erase(prefix) > 0 || since > rev) {
+      if (compacted.erase(prefix) > 0 || since > rev) {
         watches_gone++;
         c.send(answer(410, era_field(), ""));
         return;
       }
       watches.push_back({&c, prefix, since});
-      tell();
+      notify_watches();
       return;
     }
     lists_asked++;
     size_t from = line.find("since_rev="), count = 0;
-    std::string all, behind, more = "false";
+    std::string all, after, more = "false";
     if (from != std::string::npos)
-      behind =
+      after =
           line.substr(from + 10, line.find_first_of("& ", from) - from - 10);
-    bool old = !past.empty() && line.find("stale=1") != std::string::npos;
-    past_asked += old;
+    bool stale =
+        !stale_items.empty() && line.find("stale=1") != std::string::npos;
+    stale_lists_served += stale;
     std::map<std::string, Item> now = items;
-    if (old) items = past;
+    if (stale) items = stale_items;
     for (auto &i : items) {
       if (i.first.compare(0, prefix.size(), prefix) != 0) continue;
-      if (i.first <= behind) continue;
+      if (i.first <= after) continue;
       if (page > 0 && count == page) {
         more = "true";
         break;
@@ -347,7 +358,8 @@
   std::string era_field () const {
     return era > 0 ? "Store-Era: " + std::to_string(era) + "\r\n" : "";
   }
-  void tell () {
+  // Answers the watches that have changes.
+  void notify_watches () {
     for (size_t w = watches.size(); w-- > 0;) {
       std::string all;
       for (auto &i : items)
@@ -371,17 +383,17 @@
   }
   void put (const std::string &key, const std::string &value) {
     items[key] = {value, ++rev};
-    tell();
+    notify_watches();
   }
 
-  // `told`: watches hear of it; else only a list shows it.
-  void remove (const std::string &key, bool told = true) {
+  // Removes an entry. `notify`: watches report that; else only lists show it.
+  void remove (const std::string &key, bool notify = true) {
     items.erase(key);
     rev++;
-    if (told) removed[key] = rev;
-    tell();
+    if (notify) removed[key] = rev;
+    notify_watches();
   }
-  // What the store holds, to come back to.
+  // A backup of the store.
   struct Copy {
     std::map<std::string, Item> items;
     std::map<std::string, long> removed;
@@ -390,8 +402,8 @@
   Copy copy () const {
     return {items, removed, rev};
   }
-  // The store is away for a moment and comes back from a copy: all watches
-  // are cut, and its revisions go on from the copy's.
+  // Restores the store from a backup: all watches are reset, revisions
+  // continue from the backup's, and a new era begins.
   void restore (const Copy &from) {
     items = from.items;
     removed = from.removed;
@@ -401,13 +413,14 @@
       if (w.conn->fd >= 0) w.conn->abort();
     watches.clear();
   }
-  // All watches end; the store has no history for the next one of each range.
-  void forget () {
-    forgot = {"op/", "servers/"};
+  // Drops the store's history: each range's watch gets 410, the present one
+  // or else the next one.
+  void compact () {
+    compacted = {"op/", "servers/"};
     for (Watch &w : watches) {
       if (w.conn->fd < 0) continue;
       w.conn->send(answer(410, "", ""));
-      forgot.erase(w.prefix);
+      compacted.erase(w.prefix);
     }
     watches.clear();
   }
@@ -416,8 +429,8 @@
 
   // {== The gateway
 
-  int peers_port = 0;     // where it hears other routers; 0: any
-  rlim_t descriptors = 0; // that the gateway may open; 0: as usual
+  int peers_port = 0;     // for messages of other routers; 0: any
+  rlim_t descriptors = 0; // limit of the gateway's process; 0: the default
 
   std::string settings () const {
     return "{\"node\":\"g1\",\"domain\":\"d1\",\"callers\":\"127.0.0.1:0\","
@@ -429,7 +442,8 @@
            "\"log_lines_per_s\":100000,\"source\":{\"store\":\"127.0.0.1:" +
            std::to_string(store->port) + "\"}}";
   }
-  // Starts the process, and nothing more.
+  // Starts the process and does not wait for it. Its output pipe is small, to
+  // fill up soon where nobody reads it.
   void launch (const std::string &file) {
     int fds[2];
     ASSERT_EQ(pipe(fds), 0);
@@ -451,6 +465,8 @@
     ::close(fds[1]);
     out = fds[0];
   }
+  // Starts the gateway and waits until it is ready. `keep_log`: false leaves
+  // its output unread from then on.
   void start (bool keep_log = true) {
     std::string file = dir + "/settings.json";
     std::ofstream(file) << settings();
@@ -460,12 +476,13 @@
     ready = port("ready=");
     metrics = port("metrics=");
     ASSERT_TRUE(until([&] { return ask_ready() == 200; }));
-    if (!keep_log) { // nobody reads it any more, nor is it closed
+    if (!keep_log) { // no longer read, but still open
       pending_prefill = out;
       out = -1;
     }
   }
-  int pending_prefill = -1;
+  int pending_prefill = -1; // the pipe, after start(false)
+  // The port of an address in the log's start line.
   int port (const std::string &name) {
     size_t at = log.find(name);
     at = log.find(':', at) + 1;
@@ -483,6 +500,7 @@
   static int status_of (const std::string &in) {
     return in.size() > 12 ? atoi(in.c_str() + 9) : 0;
   }
+  // The text of a request of the workspace w1 with this id.
   static std::string ask (const std::string &path, const std::string &id,
                           const std::string &body = "",
                           const std::string &fields = "",
@@ -493,7 +511,7 @@
            fields + "Content-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + body;
   }
-  // A whole exchange on a connection of its own, until its end.
+  // Sends a request on a new connection and returns the answer.
   std::string call (const std::string &text) {
     return fetch(callers, text);
   }
@@ -506,6 +524,7 @@
     c->close();
     return in;
   }
+  // True if an answer is complete.
   static bool whole (const std::string &in) {
     size_t end = in.find("\r\n\r\n");
     if (end == std::string::npos) return false;
--- a/tests/reach_test.cc
+++ b/tests/reach_test.cc
@@ -116,11 +116,11 @@
   setsockopt(e->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   ASSERT_EQ(bind(e->fd, (sockaddr *)&at, sizeof at), 0);
   ::listen(e->fd, 64);
-  ASSERT_TRUE(w.until([&] { return e->taken > 0; }));
+  ASSERT_TRUE(w.until([&] { return e->accepted > 0; }));
   ASSERT_TRUE(w.until([&] {
     return World::status_of(w.call(World::ask("/once/x", "id2"))) == 200;
   }));
-  EXPECT_EQ(e->taken, 1); // the request used the probe's connection
+  EXPECT_EQ(e->accepted, 1); // the request used the probe's connection
 }
 
 } // namespace
--- a/tests/restart_test.cc
+++ b/tests/restart_test.cc
@@ -1,4 +1,4 @@
-// restart_test.cc - engines that start again under the id that they had
+// restart_test.cc - engines that restart under the same id
 #include <gtest/gtest.h>
 
 #include "gateway_world.h"
@@ -6,8 +6,9 @@
 
 namespace {
 
-// What is believed of the earlier start holds no more.
-TEST(Restart, NothingOfTheEarlierStartIsBelieved) {
+// State of the previous start (cache, loads, failures, slowness) is
+// discarded.
+TEST(Restart, DiscardsStateOfThePreviousStart) {
   Relay r(2);
   r.declare();
   mt_engine_t *e = r.find("m1");
@@ -38,8 +39,8 @@
   EXPECT_EQ(e->slowness, 1.0);
 }
 
-// What ran there is lost, though no connection has said so.
-TEST(Restart, WhatRanThereIsLostAtOnce) {
+// Requests at the previous start are lost before their connections report it.
+TEST(Restart, RunningRequestsAreLostAtOnce) {
   struct Row {
     const char *what, *path;
     bool again;
@@ -72,11 +73,11 @@
          std::to_string(started_at) + ",\"state\":\"" + state + "\"}";
 }
 
-struct Restarted {
+struct RestartedEngine {
   World w;
   Listener *first, *second;
   int served[2] = {0, 0};
-  Restarted() {
+  RestartedEngine() {
     auto serve = [this] (int which) {
       return [this, which] (Conn &c, const Request &r) {
         served[which]++;
@@ -89,7 +90,7 @@
     first = w.listen(serve(0));
     second = w.listen(serve(1));
   }
-  bool says (const std::string &line) {
+  bool logged (const std::string &line) {
     return w.until([&] { return w.log.find(line) != w.log.npos; });
   }
   int ask () {
@@ -97,47 +98,47 @@
   }
 };
 
-// A kept connection leads to the earlier start, and an address may be new.
-TEST(Restart, IsServedThroughConnectionsOfItsOwn) {
-  Restarted t;
+// An idle connection leads to the previous start, and the address may be new.
+TEST(Restart, UsesNewConnections) {
+  RestartedEngine t;
   t.w.put("servers/i-1", listed(t.first->port, 100));
   t.w.start();
   ASSERT_EQ(t.ask(), 200);
   t.w.log.clear();
   t.w.put("servers/i-1", listed(t.second->port, 200));
-  ASSERT_TRUE(t.says("engine=i-1 address=127.0.0.1:" +
-                     std::to_string(t.second->port)));
+  ASSERT_TRUE(t.logged("engine=i-1 address=127.0.0.1:" +
+                       std::to_string(t.second->port)));
   ASSERT_EQ(t.ask(), 200);
   EXPECT_EQ(t.served[0], 1);
   EXPECT_EQ(t.served[1], 1);
 }
 
-// Leaving is final for one start, not for the id.
-TEST(Restart, AfterALeavingItServesAgain) {
-  Restarted t;
+// A drain is final for one start of an engine, not for its id.
+TEST(Restart, ServesAgainAfterDraining) {
+  RestartedEngine t;
   t.w.put("servers/i-1", listed(t.first->port, 100));
   t.w.start();
   t.w.put("servers/i-1", listed(t.first->port, 100, "draining"));
-  ASSERT_TRUE(t.says("outcome=leaving"));
+  ASSERT_TRUE(t.logged("outcome=leaving"));
   EXPECT_EQ(t.ask(), 503);
   t.w.log.clear();
   t.w.put("servers/i-1", listed(t.second->port, 200));
-  ASSERT_TRUE(t.says("outcome=ready"));
+  ASSERT_TRUE(t.logged("outcome=ready"));
   EXPECT_EQ(t.ask(), 200);
   EXPECT_EQ(t.served[1], 1);
 }
 
-// An entry that names no engine takes it away, and no other.
-TEST(Restart, AnEntryByAnotherWriterNamesNoEngine) {
-  Restarted t;
+// An invalid entry removes the engine that it replaces, and no other.
+TEST(Restart, InvalidEntryRemovesOnlyItsEngine) {
+  RestartedEngine t;
   t.w.put("servers/i-1", listed(t.first->port, 100));
   t.w.put("servers/i-2", listed(t.second->port, 100));
   t.w.put("servers/i-3", "\xff not an entry");
   t.w.start();
   t.w.put("servers/i-1", "{\"state\":7}");
-  ASSERT_TRUE(
-      t.says("engine=i-1 address=127.0.0.1:" + std::to_string(t.first->port) +
-             " running=0 outcome=gone"));
+  ASSERT_TRUE(t.logged(
+      "engine=i-1 address=127.0.0.1:" + std::to_string(t.first->port) +
+      " running=0 outcome=gone"));
   t.served[0] = 0;
   for (int i = 0; i < 6; i++) EXPECT_EQ(t.ask(), 200);
   EXPECT_EQ(t.served[0], 0);
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -229,7 +229,7 @@
       return "{\"key\":\"" + key +
              "\",\"rev\":" + std::to_string(gone_at[key]) + ",\"gone\":true}";
     return "{\"key\":\"" + key + "\",\"value\":\"" +
-           encode(items[key].value) +
+           base64(items[key].value) +
            "\",\"rev\":" + std::to_string(items[key].rev) + "}";
   }
   static bool begins (const std::string &key, const std::string &prefix) {
--- a/tests/turned_away_test.cc
+++ b/tests/store_refusal_test.cc
@@ -1,50 +1,45 @@
-// turned_away_test.cc - what a gateway hears that the store turns away
+// store_refusal_test.cc - a gateway that cannot read the store learns of
+// changes from other routers
 //
-// Engines said that they leave, and some gateways went on sending them work
-// for seconds: the store turned these away, and what their neighbours knew
-// within a millisecond was of no use to them. A gateway took news only if it
-// knew all that had come before. What a watcher's news build on rose with any
-// other change at the source, so that nothing was lost and yet, for good:
-//
-//   g0 event=news peer=127.0.1.5 base=21 reach=22 entries=1 known=20
-//     newest=22 declared=11/21 outcome=gap
-//   g0 event=news peer=127.0.1.5 base=22 reach=23 entries=1 known=20
-//     newest=23 declared=11/21 outcome=gap
-//
-// Where both watchers of a failure domain met silence nobody told it anything
-// for 2.2 s, and in a fleet of eight or less nobody told anybody. With a
-// third of twelve gateways turned away by turns, 34 requests in 30 s came
-// more than 2,000 ms after the store had taken the leaving. Domains that are
-// emptied, keys and routes that are taken away went the same way.
+// Guards against a gateway that the store refuses and that goes on sending
+// requests to engines that drain, to evacuated domains, or for revoked keys
+// and closed routes, though its peers know better. Causes were updates that
+// were only applied without a gap before them, while an update's base
+// revision also rose with unrelated changes; failure domains both of whose
+// watchers got no answers from the store, which were sent nothing for 2.2 s;
+// and fleets of eight or fewer, where no router sent updates. With a third of
+// twelve gateways refused in turn, 34 requests in 30 s came more than 2 s
+// after the store had taken the drain.
 #include "soak/fleet.h"
 
 namespace {
 
 using soak::Fleet;
 
-// How the store takes that an engine ends.
-enum class End { Says, WithoutAWord };
+// How an engine's end shows in the store: its entry says that it drains, or
+// is deleted.
+enum class Removal { Drained, Deleted };
 
-struct Leaving {
+struct Case {
   const char *what;
   int gateways;
-  int refusal; // 0: 503, 1: silence, 2: resets
-  End end;
-  bool declared; // the declarations change first
+  int refusal; // how the store refuses: 0: 503, 1: no answer, 2: reset
+  Removal end;
+  bool config_first; // the configuration changes first
 };
 
-void play (const Leaving &row) {
+void run_case (const Case &row) {
   Fleet fleet(row.gateways);
   ASSERT_TRUE(fleet.begins());
   fleet.turn_away(0, row.refusal);
-  if (row.declared) {
+  if (row.config_first) {
     fleet.world.configure();
     ASSERT_TRUE(fleet.watchers_go_on());
   }
   std::string engine = fleet.world.plains[0];
-  fleet.world.retire("plain", engine, row.end == End::Says);
+  fleet.world.retire("plain", engine, row.end == Removal::Drained);
   std::string known = "engine=" + engine;
-  known += row.end == End::Says ? " outcome=leaving" : " outcome=gone";
+  known += row.end == Removal::Drained ? " outcome=leaving" : " outcome=gone";
   ASSERT_TRUE(fleet.until([&] { return fleet.said(1, known); }));
   ASSERT_TRUE(fleet.until([&] { return fleet.said(0, known); }));
   fleet.world.arrived.clear();
@@ -53,21 +48,21 @@
   EXPECT_EQ(fleet.world.arrived[engine], 0);
 }
 
-TEST(TurnedAway, SendsNothingToEnginesThatLeave) {
-  const Leaving rows[] = {
-      {"a small fleet", 3, 0, End::Says, false},
-      {"a small fleet, silence", 3, 1, End::WithoutAWord, false},
-      {"watchers tell", 10, 2, End::Says, false},
-      {"what the news build on has risen", 10, 0, End::Says, true},
-      {"it has risen, without a word", 10, 0, End::WithoutAWord, true},
+TEST(StoreRefusal, SendsNothingToRemovedEngines) {
+  const Case rows[] = {
+      {"a small fleet", 3, 0, Removal::Drained, false},
+      {"a small fleet, no answer", 3, 1, Removal::Deleted, false},
+      {"watchers send updates", 10, 2, Removal::Drained, false},
+      {"the base revision has risen", 10, 0, Removal::Drained, true},
+      {"it has risen, the entry is deleted", 10, 0, Removal::Deleted, true},
   };
-  for (const Leaving &row : rows) {
+  for (const Case &row : rows) {
     SCOPED_TRACE(row.what);
-    play(row);
+    run_case(row);
   }
 }
 
-TEST(TurnedAway, SendsNothingToAnEmptiedDomain) {
+TEST(StoreRefusal, SendsNothingToAnEvacuatedDomain) {
   for (int gateways : {3, 10}) {
     SCOPED_TRACE(gateways);
     Fleet fleet(gateways);
@@ -88,8 +83,9 @@
   }
 }
 
-// What is new it cannot know; what is over it refuses, and says not-run.
-TEST(TurnedAway, RunsNothingThatIsOver) {
+// It cannot know what was added, but refuses keys and routes that were
+// removed, with 503.
+TEST(StoreRefusal, RefusesRevokedKeysAndClosedRoutes) {
   for (int gateways : {3, 10}) {
     SCOPED_TRACE(gateways);
     Fleet fleet(gateways);
@@ -122,9 +118,10 @@
   }
 }
 
-// Who reads a version may have missed the one before it, and cannot tell by
-// its own what that one began: it has heard so from others.
-TEST(TurnedAway, RunsNothingThatASkippedVersionBegan) {
+// A gateway that reads a version may have missed the one before. What that
+// one added and this one removes it only knows from other routers, and must
+// still announce.
+TEST(StoreRefusal, RefusesAdditionsOfASkippedVersion) {
   Fleet fleet(3);
   ASSERT_TRUE(fleet.begins());
   fleet.turn_away(1, 0);
--- a/tests/store_restored_test.cc
+++ b/tests/store_restored_test.cc
@@ -121,7 +121,7 @@
   size_t before = f.w.log.size();
   f.w.era = 1;
   f.set("i-1", "ready");
-  f.w.forget();
+  f.w.compact();
   ASSERT_TRUE(f.wait_for_log("era=1 at=2/"));
   EXPECT_EQ(f.runs_at("i-1", 5), 0);
   f.w.restore(now);
--- a/tests/suspects_test.cc
+++ b/tests/suspects_test.cc
@@ -232,11 +232,11 @@
               {"/", false, 0}};
   for (const Row &row : rows) {
     mt_bytes_t path = {row.path, strlen(row.path)};
-    EXPECT_EQ(mt_suspects_page_is_at(path), row.at) << row.path;
+    EXPECT_EQ(mt_suspects_page_matches(path), row.at) << row.path;
     EXPECT_EQ(mt_suspects_page_digest(path), row.digest) << row.path;
   }
   Table t;
-  mt_text_t out{};
+  mt_strbuf_t out{};
   t.ended('a');
   t.ended('b');
   t.ended('c', true);
@@ -245,7 +245,7 @@
   EXPECT_EQ(std::string(out.p, out.n),
             "digest=000000000000004d state=quarantine ends=4 alone=2 "
             "left=600000\n");
-  mt_text_free(&out);
+  mt_strbuf_free(&out);
 }
 
 // }==
