--- a/bench/bblab.c
+++ b/bench/bblab.c
@@ -470,7 +470,7 @@
   bb_lab_t *lab = mtV_new(sizeof *lab);
   signal(SIGPIPE, SIG_IGN);
   uv_loop_init(&lab->loop);
-  lab->http = mtY_open(&lab->loop, MT_WAIT_MS);
+  lab->http = mtY_open(&lab->loop, MT_WAIT_MAX_MS);
   snprintf(lab->bin, sizeof lab->bin, "%s", bin);
   snprintf(lab->dir, sizeof lab->dir, "%s/lab-%d-%d", bin, (int)getpid(),
            ++number);
--- a/src/mtcall.c
+++ b/src/mtcall.c
@@ -189,10 +189,10 @@
 
 mt_http_t *mtY_open (uv_loop_t *loop, mt_ms_t silence) {
   mt_http_t *http = mtV_new(sizeof *http);
-  const mt_http_client_options_t options = {.connect_ms = MT_CONNECT_MS,
-                                            .idle_ms = IDLE_MS,
-                                            .user_timeout =
-                                                (unsigned)silence};
+  const mt_http_client_options_t options = {
+      .connect_ms = MT_CONNECT_TIMEOUT_MS,
+      .idle_ms = IDLE_MS,
+      .user_timeout = (unsigned)silence};
   http->loop = loop;
   http->silence = silence;
   http->client = mt_http_client_open(loop, &options, &handler);
--- a/src/mtcli.c
+++ b/src/mtcli.c
@@ -528,7 +528,7 @@
   if (code == DONE) {
     uv_loop_t loop;
     uv_loop_init(&loop);
-    mt_http_t *http = mtY_open(&loop, MT_CONNECT_MS);
+    mt_http_t *http = mtY_open(&loop, MT_CONNECT_TIMEOUT_MS);
     page_t p = callrouter(&loop, http, &addr, drain ? "POST" : "GET",
                           drain ? "/drain" : "/status");
     if (p.status == 0) {
--- a/src/mtconf.c
+++ b/src/mtconf.c
@@ -151,7 +151,7 @@
     mtR_count(S, MT_C_CONFIG_BAD);
     mtR_log(S, MT_ERR, MT_L_CONFIG, "revision %lld rejected: %s: %s",
             (long long)S->conf.wanted, fs.at[0].where, fs.at[0].reason);
-    S->conf.refused = S->conf.wanted;
+    S->conf.rejected = S->conf.wanted;
     abandon_wanted(S);
   } else {
     apply(S, F);
@@ -167,7 +167,7 @@
 
 static void request_part (mt_state_t *S, mt_id_t from, const char *digest) {
   if (from == 0) {
-    mt_effect_t *fx = mtR_effect(S, MT_FX_GETPART, 0);
+    mt_effect_t *fx = mtR_effect(S, MT_FX_GET_CONFIG_PART, 0);
     snprintf(fx->u.digest, sizeof fx->u.digest, "%s", digest);
     return;
   }
@@ -214,7 +214,7 @@
     missing++;
     if (request) request_part(S, from, json_string_value(v));
   }
-  if (request) S->conf.asked = S->now;
+  if (request) S->conf.requested = S->now;
   if (missing == 0) apply_wanted(S, sections);
 done:
   json_decref(head);
@@ -223,7 +223,7 @@
 void mtK_recv_head (mt_state_t *S, mt_id_t from, int64_t revision,
                     mt_bytes_t text) {
   if (revision <= S->conf.revision || revision <= S->conf.wanted ||
-      revision == S->conf.refused) {
+      revision == S->conf.rejected) {
     if (revision < S->conf.revision) mtR_count(S, MT_C_CONFIG_OLD);
     return;
   }
@@ -238,11 +238,12 @@
 void mtK_store_reply (mt_state_t *S, const mt_event_t *ev) {
   S->conf.watching = false;
   S->conf.nextpoll = S->now;
-  if (ev->u.stored.status == 200) {
+  if (ev->u.config_head.status == 200) {
     S->conf.seen = true;
-    S->conf.written = mt_max(S->conf.written, ev->u.stored.written);
-    mtK_recv_head(S, 0, ev->u.stored.revision, ev->u.stored.text);
-  } else if (ev->u.stored.status == 0) {
+    S->conf.store_revision =
+        mt_max(S->conf.store_revision, ev->u.config_head.store_revision);
+    mtK_recv_head(S, 0, ev->u.config_head.revision, ev->u.config_head.text);
+  } else if (ev->u.config_head.status == 0) {
     S->conf.nextpoll =
         S->now + REQUEST_RETRY_MS + mtV_random(&S->random) % REQUEST_RETRY_MS;
   } else {
@@ -289,7 +290,7 @@
 
 void mtK_peer_revision (mt_state_t *S, mt_id_t from, int64_t revision) {
   if (revision <= S->conf.revision || revision <= S->conf.wanted ||
-      revision == S->conf.refused)
+      revision == S->conf.rejected)
     return;
   mt_msg_t m = {.kind = MT_M_HEAD_REQUEST};
   m.u.head.revision = S->conf.revision;
@@ -305,7 +306,7 @@
 }
 
 void mtK_tick (mt_state_t *S) {
-  if (S->conf.wanted != 0 && S->now - S->conf.asked >= REQUEST_RETRY_MS) {
+  if (S->conf.wanted != 0 && S->now - S->conf.requested >= REQUEST_RETRY_MS) {
     /* Half of the retries go to the store, as the peer may be gone. */
     bool store = mtV_random(&S->random) % 2;
     fetch_or_apply(S, store ? 0 : S->conf.wantedfrom, true);
@@ -313,10 +314,11 @@
   if (S->conf.watching || S->now < S->conf.nextpoll) return;
   if (iswatcher(S) && S->conf.seen) {
     S->conf.watching = true;
-    mtR_effect(S, MT_FX_WATCH, 0)->u.revision = S->conf.written;
+    mtR_effect(S, MT_FX_WATCH_CONFIG_HEAD, 0)->u.revision =
+        S->conf.store_revision;
   } else if (!S->conf.seen || S->conf.revision == 0) {
     S->conf.watching = true;
-    mtR_effect(S, MT_FX_GETHEAD, 0);
+    mtR_effect(S, MT_FX_GET_CONFIG_HEAD, 0);
   } else {
     S->conf.nextpoll = S->now + MT_POLL_MS;
   }
--- a/src/mtcore.c
+++ b/src/mtcore.c
@@ -37,7 +37,7 @@
 void mtR_send (mt_state_t *S, mt_id_t to, mt_msg_t *m) {
   m->clock = S->now;
   if (to == S->members.self->id) {
-    mt_loopmsg_t *l = mtV_push(S->loop, S->nloop, S->loop_cap);
+    mt_selfmsg_t *l = mtV_push(S->selfmsgs, S->nselfmsgs, S->selfmsgs_cap);
     l->n = mtW_pack(m, &l->bytes);
     return;
   }
@@ -63,11 +63,11 @@
 /* {== Messages ========================================================= */
 
 static void dispatch (mt_state_t *S, mt_id_t from, const mt_msg_t *m) {
-  mtM_heard(S, from, m->clock);
+  mtM_received(S, from, m->clock);
   switch (m->kind) {
     case MT_M_HELLO: mtM_hello(S, &m->u.hello); break;
     case MT_M_HEARTBEAT:
-      mtM_beat(S, from, &m->u.heartbeat);
+      mtM_heartbeat(S, from, &m->u.heartbeat);
       mtK_peer_revision(S, from, m->u.heartbeat.revision);
       break;
     case MT_M_VIEW: mtM_view(S, from, m->u.view.nodes, m->u.view.n); break;
@@ -93,11 +93,11 @@
   }
 }
 
-static void runloop (mt_state_t *S) {
-  mt_loopmsg_t *batch = S->loop;
-  size_t n = S->nloop;
-  S->loop = NULL;
-  S->nloop = S->loop_cap = 0;
+static void run_selfmsgs (mt_state_t *S) {
+  mt_selfmsg_t *batch = S->selfmsgs;
+  size_t n = S->nselfmsgs;
+  S->selfmsgs = NULL;
+  S->nselfmsgs = S->selfmsgs_cap = 0;
   for (size_t i = 0; i < n; i++) {
     mt_msg_t m;
     mt_msgerr_t err = mtW_unpack(batch[i].bytes, batch[i].n, &m);
@@ -125,7 +125,7 @@
   if (S->draining) return;
   S->draining = true;
   mtM_leave(S);
-  mtR_log(S, MT_INFO, MT_L_ROUTER, "draining: %zu requests in hand",
+  mtR_log(S, MT_INFO, MT_L_ROUTER, "draining: %zu requests in progress",
           S->edge.reqs.used);
 }
 
@@ -134,14 +134,14 @@
     case MT_EV_TICK: tick(S, gap); break;
     case MT_EV_REQUEST: mtE_request(S, ev); break;
     case MT_EV_RESUME: mtE_resume(S, ev); break;
-    case MT_EV_GONE: mtE_gone(S, ev); break;
+    case MT_EV_CALLER_LEFT: mtE_caller_left(S, ev); break;
     case MT_EV_FAILED: mtE_failed(S, ev); break;
     case MT_EV_HEAD: mtE_head(S, ev); break;
     case MT_EV_CHUNK: mtE_chunk(S, ev); break;
     case MT_EV_END: mtE_end(S, ev); break;
     case MT_EV_PEER: dispatch(S, ev->u.peer.from, ev->u.peer.msg); break;
-    case MT_EV_STORED: mtK_store_reply(S, ev); break;
-    case MT_EV_PART:
+    case MT_EV_CONFIG_HEAD: mtK_store_reply(S, ev); break;
+    case MT_EV_CONFIG_PART:
       if (ev->u.part.status == 200 &&
           !mtK_recv_part(S, ev->u.part.digest, ev->u.part.text))
         mtR_count(S, MT_C_CONFIG_BAD);
@@ -151,7 +151,8 @@
   }
 }
 
-/* Lets every part act on what the event changed, until nothing is left. */
+/* Updates roles, sends reports and issues grants until no message to this
+   router is left. */
 static void settle (mt_state_t *S) {
   do {
     if (S->epoch != S->members.epoch) {
@@ -159,9 +160,9 @@
       mtG_roles(S);
     }
     mtQ_report(S);
-    runloop(S);
+    run_selfmsgs(S);
     mtG_run(S);
-  } while (S->nloop > 0 || S->epoch != S->members.epoch);
+  } while (S->nselfmsgs > 0 || S->epoch != S->members.epoch);
 }
 
 void mtR_step (mt_state_t *S, const mt_event_t *ev, mt_effects_t *fx) {
@@ -191,8 +192,8 @@
   mtE_close(S);
   mtK_close(S);
   mtM_close(S);
-  for (size_t i = 0; i < S->nloop; i++) free(S->loop[i].bytes);
-  free(S->loop);
+  for (size_t i = 0; i < S->nselfmsgs; i++) free(S->selfmsgs[i].bytes);
+  free(S->selfmsgs);
   free(S);
 }
 
--- a/src/mtcost.c
+++ b/src/mtcost.c
@@ -1,11 +1,11 @@
 /*
-** mtcost.c - what a request is expected to cost, from those that ended
+** mtcost.c - cost estimates from the requests that have ended
 */
 #include "mtcost.h"
 
-#define SCALE 1024             /* of one request in its bucket */
-#define FADE_AT (1024 * SCALE) /* when to halve what has been seen */
-#define KNOWN (24 * SCALE)
+#define SCALE 1024              /* weight of one request, halved with age */
+#define HALVE_AT (1024 * SCALE) /* total at which all counts are halved */
+#define ENOUGH (24 * SCALE)     /* total from which estimates are made */
 
 /* Two buckets per doubling: [2^k, 1.5 * 2^k) and [1.5 * 2^k, 2^(k+1)). */
 static int bucketof (int64_t cost) {
@@ -16,7 +16,7 @@
   return 2 * k + (cost >= half + half / 2 && half > 1);
 }
 
-static void fade (mt_costs_t *c) {
+static void halve (mt_costs_t *c) {
   c->total = 0;
   for (int i = 0; i < MT_COST_BUCKETS; i++) {
     c->n[i] /= 2;
@@ -25,25 +25,25 @@
   }
 }
 
-void mtZ_learn (mt_costs_t *c, int64_t cost) {
+void mtZ_add (mt_costs_t *c, int64_t cost) {
   int b = bucketof(cost);
   c->n[b] += SCALE;
   c->sum[b] += SCALE * cost;
   c->total += SCALE;
-  if (c->total >= FADE_AT) fade(c);
+  if (c->total >= HALVE_AT) halve(c);
 }
 
-bool mtZ_known (const mt_costs_t *c) {
-  return c->total >= KNOWN;
+bool mtZ_enough (const mt_costs_t *c) {
+  return c->total >= ENOUGH;
 }
 
-int64_t mtZ_rest (const mt_costs_t *c, int64_t sofar) {
+int64_t mtZ_remaining (const mt_costs_t *c, int64_t sofar) {
   int64_t n = 0, sum = 0;
   for (int i = MT_COST_BUCKETS - 1; i >= bucketof(sofar); i--) {
     if (c->n[i] == 0 || c->sum[i] / c->n[i] <= sofar) continue;
     n += c->n[i];
     sum += c->sum[i];
   }
-  if (n == 0) return mt_max(sofar, 1); /* beyond all: as much again */
+  if (n == 0) return mt_max(sofar, 1); /* no larger one: as much again */
   return mt_max(sum / n - sofar, 1);
 }
--- a/src/mtcost.h
+++ b/src/mtcost.h
@@ -1,9 +1,9 @@
 /*
-** mtcost.h - what a request is expected to cost, from those that ended
+** mtcost.h - cost estimates from the requests that have ended
 **
-** A request's cost is known only when it ends, and costs differ a
-** hundredfold. What a running one will still cost depends on how far it has
-** come: the expectation is taken over the ended ones that cost more.
+** The cost of a request is known only when it ends, and costs differ a
+** hundredfold. What a running request will still cost is therefore estimated
+** from the ended requests that cost more than it has cost so far.
 */
 #ifndef mtcost_h
 #define mtcost_h
@@ -12,20 +12,21 @@
 
 #define MT_COST_BUCKETS 48 /* two per doubling */
 
-/* Costs of ended requests, in buckets; older ones fade. */
+/* Histogram of the costs of ended requests; older ones weigh less. */
 typedef struct mt_costs_t {
-  int64_t n[MT_COST_BUCKETS];   /* requests, times a scale */
-  int64_t sum[MT_COST_BUCKETS]; /* of their costs, times the same */
-  int64_t total;
+  int64_t n[MT_COST_BUCKETS];   /* requests, times 1024 */
+  int64_t sum[MT_COST_BUCKETS]; /* of their costs, times 1024 */
+  int64_t total;                /* of `n` */
 } mt_costs_t;
 
-/* An ended request cost this much. */
-void mtZ_learn (mt_costs_t *c, int64_t cost);
+/* Adds the cost of an ended request. */
+void mtZ_add (mt_costs_t *c, int64_t cost);
 
-/* True when enough have been seen to be used. */
-bool mtZ_known (const mt_costs_t *c);
+/* True when enough requests have ended for an estimate. */
+bool mtZ_enough (const mt_costs_t *c);
 
-/* What a request that has cost `sofar` is expected to cost beyond it. */
-int64_t mtZ_rest (const mt_costs_t *c, int64_t sofar);
+/* Estimate of what a request that has cost `sofar` costs beyond it, at
+   least 1. */
+int64_t mtZ_remaining (const mt_costs_t *c, int64_t sofar);
 
 #endif
--- a/src/mtfleet.c
+++ b/src/mtfleet.c
@@ -124,7 +124,7 @@
   snprintf(w->keydigest, sizeof w->keydigest, "%s",
            mtJ_str(v, "key_sha256", ""));
   w->share = (int)mtJ_int(v, "share", 1);
-  w->maxwaiting = (int)mtJ_int(v, "max_waiting", MT_WS_WAITING);
+  w->maxwaiting = (int)mtJ_int(v, "max_waiting", MT_WS_WAITING_DEFAULT);
   w->pools = json_object_get(v, "pools");
   uint64_t h = mtV_hash(w->keydigest, strlen(w->keydigest));
   if (mtV_get(&F->keys, h))
@@ -287,7 +287,7 @@
 }
 
 int mtF_bucket (const char *workspace) {
-  return (int)(mtV_hash(workspace, strlen(workspace)) % MT_BUCKETS);
+  return (int)(mtV_hash(workspace, strlen(workspace)) % MT_WS_SECTIONS);
 }
 
 /* }== */
--- a/src/mtfleet.h
+++ b/src/mtfleet.h
@@ -92,7 +92,7 @@
 /* True when the workspace may use the pool. */
 bool mtF_mayuse (const mt_workspace_t *w, const mt_pool_t *p);
 
-/* Number of the section that stores a workspace, 0 to MT_BUCKETS - 1. */
+/* Number of the section that stores a workspace, 0 to MT_WS_SECTIONS - 1. */
 int mtF_bucket (const char *workspace);
 
 #endif
--- a/src/mtfront.c
+++ b/src/mtfront.c
@@ -73,7 +73,7 @@
 }
 
 static void tellgone (mt_front_t *O, uint64_t id) {
-  mt_event_t ev = {.kind = MT_EV_GONE, .req = id};
+  mt_event_t ev = {.kind = MT_EV_CALLER_LEFT, .req = id};
   mtX_step(O->X, &ev);
 }
 
@@ -149,8 +149,8 @@
 }
 
 /* Refuses a request and those that wait for the same answer. */
-static void refuse (conn_t *c, mt_rejection_t why, bool notrun) {
-  while (c->followers != NULL) refuse(c->followers, why, notrun);
+static void reject (conn_t *c, mt_rejection_t why, bool notrun) {
+  while (c->followers != NULL) reject(c->followers, why, notrun);
   mt_webreq_t *r = letgo(c);
   if (r != NULL) answererror(r, why, notrun, NULL);
 }
@@ -189,7 +189,7 @@
     if (f->r != NULL) mtB_write(f->r, data.p, data.n);
   if (c->r == NULL) return;
   mtB_write(c->r, data.p, data.n);
-  if (c->paused || mtB_backlog(c->r) < MT_CHUNK_MAX || c->attempt == NULL)
+  if (c->paused || mtB_backlog(c->r) < MT_BACKLOG_MAX || c->attempt == NULL)
     return;
   c->paused = true;
   mtT_pause(c->attempt, true);
@@ -274,7 +274,7 @@
   c->number = fx->attempt;
   c->token.ws = c->ws;
   c->token.target = fx->u.start.target;
-  c->token.expires = (uint64_t)time(NULL) + MT_RESUME_MS / 1000;
+  c->token.expires = (uint64_t)time(NULL) + MT_RESUME_TOKEN_MS / 1000;
   if (fx->kind == MT_FX_RESUME) {
     c->attempt =
         mtT_resume(X->targets, &addr, c->token.stream, c->from, onattempt, c);
@@ -296,7 +296,7 @@
 static void join (mt_front_t *O, conn_t *c, uint64_t leaderid) {
   conn_t *l = find(O, leaderid);
   if (l == NULL || l->nrecord >= RECORD_MAX) {
-    refuse(c, MT_IN_PROGRESS, false);
+    reject(c, MT_IN_PROGRESS, false);
     return;
   }
   c->leader = l;
@@ -308,8 +308,8 @@
 }
 
 static void onclaim (void *ud, mt_claimres_t res) {
-  static const mt_claim_t results[] = {MT_CLAIM_OURS, MT_CLAIM_OTHERS,
-                                       MT_CLAIM_AWAY};
+  static const mt_claim_t results[] = {MT_CLAIM_ACQUIRED, MT_CLAIM_HELD,
+                                       MT_CLAIM_UNAVAILABLE};
   struct {
     mt_front_t *O;
     uint64_t id, key;
@@ -350,8 +350,8 @@
   if (fx->kind == MT_FX_RELEASE) release(O, fx->req, fx->u.claim);
   if (c == NULL) return;
   switch (fx->kind) {
-    case MT_FX_REFUSE:
-      refuse(c, fx->u.refuse.why, fx->u.refuse.notrun);
+    case MT_FX_REJECT:
+      reject(c, fx->u.reject.why, fx->u.reject.notrun);
       break;
     case MT_FX_START:
     case MT_FX_RESUME: start(c, fx); break;
@@ -377,7 +377,7 @@
 static bool keydigest (const mt_webreq_t *r, char out[MT_DIGEST_HEX + 1]) {
   mt_bytes_t h = mtB_header(r, "authorization");
   size_t n = strlen(BEARER);
-  if (h.n <= n || h.n > n + MT_KEY_MAX || memcmp(h.p, BEARER, n) != 0)
+  if (h.n <= n || h.n > n + MT_API_KEY_MAX || memcmp(h.p, BEARER, n) != 0)
     return false;
   mtH_sha256(h.p + n, h.n - n, out);
   return true;
@@ -390,29 +390,29 @@
 }
 
 static void readcommon (conn_t *c, const mt_webreq_t *r, const char *digest,
-                        mt_ask_t *ask) {
+                        mt_reqparams_t *request) {
   const mt_workspace_t *w =
       c->O->X->S->fleet ? mtF_bykey(c->O->X->S->fleet, digest) : NULL;
   c->ws = w ? w->id : 0;
-  ask->keydigest = digest;
-  ask->session = scoped(digest, mtB_header(r, "x-session-id"));
-  ask->idem = scoped(digest, mtB_header(r, "idempotency-key"));
+  request->keydigest = digest;
+  request->session = scoped(digest, mtB_header(r, "x-session-id"));
+  request->idem = scoped(digest, mtB_header(r, "idempotency-key"));
   mt_bytes_t never = mtB_header(r, "x-not-repeatable");
   if (never.n > 0 && !(never.n == 1 && never.p[0] == '0'))
-    ask->repeat = MT_REPEAT_NEVER;
+    request->repeat = MT_REPEAT_NEVER;
   mt_bytes_t wait = mtB_header(r, "x-max-wait-ms");
   for (size_t i = 0;
        i < wait.n && i < 7 && wait.p[i] >= '0' && wait.p[i] <= '9'; i++)
-    ask->wait = ask->wait * 10 + (mt_ms_t)(wait.p[i] - '0');
-  c->keyed = ask->idem != 0;
+    request->wait = request->wait * 10 + (mt_ms_t)(wait.p[i] - '0');
+  c->keyed = request->idem != 0;
   mt_bytes_t type = mtB_header(r, "content-type");
   if (type.n < sizeof c->type && memchr(type.p, '\r', type.n) == NULL)
     memcpy(c->type, type.p, type.n);
 }
 
-static void submit (conn_t *c, const mt_ask_t *ask) {
+static void submit (conn_t *c, const mt_reqparams_t *request) {
   mt_event_t ev = {.kind = MT_EV_REQUEST, .req = c->id};
-  ev.u.ask = *ask;
+  ev.u.request = *request;
   mtX_step(c->O->X, &ev);
 }
 
@@ -462,16 +462,16 @@
     return;
   }
   conn_t *c = newconn(O, r);
-  mt_ask_t ask = {.promptbytes = (uint32_t)raw.n,
-                  .maxtokens = mtJ_int(doc, "max_tokens", 0)};
-  readcommon(c, r, digest, &ask);
+  mt_reqparams_t request = {.promptbytes = (uint32_t)raw.n,
+                            .maxtokens = mtJ_int(doc, "max_tokens", 0)};
+  readcommon(c, r, digest, &request);
   const char *model = mtJ_str(doc, "model", "");
-  ask.model = (mt_bytes_t){model, strlen(model)};
-  ask.stream = c->stream = json_is_true(json_object_get(doc, "stream"));
+  request.model = (mt_bytes_t){model, strlen(model)};
+  request.stream = c->stream = json_is_true(json_object_get(doc, "stream"));
   snprintf(c->path, sizeof c->path, "/v1/chat/completions");
   snprintf(c->method, sizeof c->method, "POST");
   setbody(c, doc, raw);
-  submit(c, &ask);
+  submit(c, &request);
   json_decref(doc);
 }
 
@@ -488,10 +488,10 @@
     return;
   }
   conn_t *c = newconn(O, r);
-  mt_ask_t ask = {.service = true,
-                  .model = {path.p + at, end - at},
-                  .promptbytes = (uint32_t)body.n};
-  readcommon(c, r, digest, &ask);
+  mt_reqparams_t request = {.service = true,
+                            .model = {path.p + at, end - at},
+                            .promptbytes = (uint32_t)body.n};
+  readcommon(c, r, digest, &request);
   memcpy(c->method, method.p, method.n);
   snprintf(c->path, sizeof c->path, "%.*s%s%.*s", (int)rest,
            rest ? path.p + end : "", query.n ? "?" : "", (int)query.n,
@@ -503,7 +503,7 @@
   c->body = mtV_new(body.n + 1);
   memcpy(c->body, body.p, body.n);
   c->nbody = body.n;
-  submit(c, &ask);
+  submit(c, &request);
 }
 
 static void models (mt_front_t *O, mt_webreq_t *r, const char *digest) {
--- a/src/mtledger.c
+++ b/src/mtledger.c
@@ -1,6 +1,5 @@
 /*
-** mtledger.c - the accounts of one scheduler: service, debts, what others
-** told
+** mtledger.c - service accounts of one scheduler: reports, exchanges, tags
 */
 #include <stdlib.h>
 #include <string.h>
@@ -9,13 +8,13 @@
 #include "mtmember.h"
 #include "mtsched.h"
 
-#define DEBT_LIMIT ((mt_units_t)MT_DEBT_TOKENS * MT_UNIT)
+#define DEBT_LIMIT ((mt_units_t)MT_DEBT_TOKENS_MAX * MT_UNIT_SCALE)
 
 /* {== Accounts ========================================================= */
 
 mt_units_t mtG_tag (const mt_account_t *a) {
-  mt_units_t served = a->retired + a->served + a->rserved;
-  return served + a->pending + a->unseen + a->rpending + a->lift -
+  mt_units_t served = a->retired + a->served + a->remote_served;
+  return served + a->pending + a->unacked + a->remote_pending + a->lift -
          a->forgiven;
 }
 
@@ -24,7 +23,7 @@
   if (a != NULL) return a;
   a = mtV_new(sizeof *a);
   a->ws = ws;
-  a->cost = (mt_units_t)MT_COST_START * MT_UNIT;
+  a->cost = (mt_units_t)MT_COST_DEFAULT * MT_UNIT_SCALE;
   mtV_put(&G->accounts, ws, a);
   *mtV_push(G->list, G->naccounts, G->list_cap) = a;
   return a;
@@ -41,7 +40,7 @@
 }
 
 /* Copies a row into a map, keeping `served` at its maximum. */
-static mt_ws_row_t *keeprow (mt_map_t *rows, const mt_ws_row_t *from) {
+static mt_ws_row_t *store_row (mt_map_t *rows, const mt_ws_row_t *from) {
   mt_ws_row_t *r = mtV_get(rows, from->ws);
   if (r == NULL) {
     r = mtV_new(sizeof *r);
@@ -74,7 +73,7 @@
   r->pending = 0;
 }
 
-static void freemap (mt_map_t *rows) {
+static void free_rows (mt_map_t *rows) {
   mtV_each (rows, i) {
     droplanes(rows->vals[i]);
     free(rows->vals[i]);
@@ -82,7 +81,7 @@
   mtV_free(rows);
 }
 
-/* Adds a row to its account's sums, or takes it out (sign -1). */
+/* Adds a row to its account's sums, or subtracts it (sign -1). */
 static void sumlocal (mt_account_t *a, const mt_ws_row_t *r, int sign) {
   a->served += sign * r->served;
   a->pending += sign * r->pending;
@@ -91,17 +90,17 @@
 
 static void sumremote (mt_account_t *a, const mt_ws_row_t *r, bool current,
                        int sign) {
-  a->rserved += sign * r->served;
+  a->remote_served += sign * r->served;
   if (!current) return;
-  a->rpending += sign * r->pending;
-  a->rwaiting += sign * waitingof(r);
+  a->remote_pending += sign * r->pending;
+  a->remote_waiting += sign * waitingof(r);
 }
 
 /* }== */
 
 /* {== Reports ========================================================== */
 
-static mt_edgeview_t *findedge (mt_sched_t *G, mt_id_t node) {
+static mt_edgeview_t *get_edge (mt_sched_t *G, mt_id_t node) {
   for (size_t i = 0; i < G->nedges; i++)
     if (G->edges[i]->node == node) return G->edges[i];
   mt_edgeview_t *e = mtV_new(sizeof *e);
@@ -110,8 +109,8 @@
   return e;
 }
 
-/* Nothing waits or runs there any more; what was served stays counted. */
-static void emptyrow (mt_sched_t *G, mt_ws_row_t *r) {
+/* Clears the waiting and running requests of a row; its service stays. */
+static void clear_row (mt_sched_t *G, mt_ws_row_t *r) {
   mt_account_t *a = mtS_account(G, r->ws);
   if (r->nbacklogs == 0 && r->pending == 0) return;
   sumlocal(a, r, -1);
@@ -120,30 +119,30 @@
   a->dirty = true;
 }
 
-static void emptyedge (mt_sched_t *G, mt_edgeview_t *e) {
-  mtV_each (&e->rows, i) emptyrow(G, e->rows.vals[i]);
+static void clear_edge (mt_sched_t *G, mt_edgeview_t *e) {
+  mtV_each (&e->rows, i) clear_row(G, e->rows.vals[i]);
   mtV_free(&e->running);
 }
 
-/* The process behind a view was replaced: its service goes to `retired`. */
+/* The router's process was replaced: its service goes to `retired`. */
 static void retire (mt_sched_t *G, mt_edgeview_t *e) {
-  emptyedge(G, e);
+  clear_edge(G, e);
   mtV_each (&e->rows, i) {
     mt_ws_row_t *r = e->rows.vals[i];
     mt_account_t *a = mtS_account(G, r->ws);
     sumlocal(a, r, -1);
     a->retired += r->served;
   }
-  freemap(&e->rows);
+  free_rows(&e->rows);
 }
 
-static void reportrow (mt_sched_t *G, mt_edgeview_t *e,
-                       const mt_ws_row_t *from) {
+static void update_row (mt_sched_t *G, mt_edgeview_t *e,
+                        const mt_ws_row_t *from) {
   mt_account_t *a = mtS_account(G, from->ws);
   mt_ws_row_t *old = mtV_get(&e->rows, from->ws);
   mt_account_t before = *a;
   if (old != NULL) sumlocal(a, old, -1);
-  mt_ws_row_t *r = keeprow(&e->rows, from);
+  mt_ws_row_t *r = store_row(&e->rows, from);
   r->report_no = e->reports;
   sumlocal(a, r, 1);
   if (from->cost > 0) a->cost = from->cost;
@@ -152,29 +151,29 @@
   a->dirty |= !same;
 }
 
-/* A full report leaves out what is no longer there. */
-static void dropunmarked (mt_sched_t *G, mt_edgeview_t *e) {
+/* Clears the rows that the last, full report did not contain. */
+static void clear_unreported (mt_sched_t *G, mt_edgeview_t *e) {
   mtV_each (&e->rows, i) {
     mt_ws_row_t *r = e->rows.vals[i];
-    if (r->report_no != e->reports) emptyrow(G, r);
+    if (r->report_no != e->reports) clear_row(G, r);
   }
 }
 
 void mtS_report (mt_state_t *S, mt_sched_t *G, mt_id_t from,
                  const mt_demand_t *d, uint64_t clock) {
-  bool statement = d->full || d->nrows > 0 || d->nrunning > 0;
-  if (!statement) return;
-  mt_edgeview_t *e = findedge(G, from);
+  bool has_data = d->full || d->nrows > 0 || d->nrunning > 0;
+  if (!has_data) return;
+  mt_edgeview_t *e = get_edge(G, from);
   if (e->boot != 0 && d->boot < e->boot) return;
   if (e->boot == d->boot && clock < e->clock) return;
   if (e->boot != d->boot) retire(G, e);
   e->boot = d->boot;
   e->clock = clock;
-  e->heard = S->now;
+  e->last_received = S->now;
   e->dead = false;
   e->reports++;
   if (d->full) mtV_free(&e->running);
-  for (size_t i = 0; i < d->nrows; i++) reportrow(G, e, &d->rows[i]);
+  for (size_t i = 0; i < d->nrows; i++) update_row(G, e, &d->rows[i]);
   for (size_t i = 0; i < d->nrunning; i++) {
     mt_id_t t = d->running[i].target;
     if (t == 0) continue;
@@ -183,16 +182,16 @@
     else
       mtV_del(&e->running, t);
   }
-  if (d->full) dropunmarked(G, e);
+  if (d->full) clear_unreported(G, e);
 }
 
-void mtS_routers (mt_state_t *S, mt_sched_t *G) {
+void mtS_mark_dead (mt_state_t *S, mt_sched_t *G) {
   for (size_t i = 0; i < G->nedges; i++) {
     mt_edgeview_t *e = G->edges[i];
     const mt_member_t *m = mtM_get(S, e->node);
     bool gone = m == NULL || m->node.state >= MT_LEFT;
     if (!gone || e->dead) continue;
-    emptyedge(G, e);
+    clear_edge(G, e);
     e->dead = true;
     G->dirty = true;
   }
@@ -202,12 +201,12 @@
 
 /* {== Tags ============================================================= */
 
-/* The least tag among workspaces that wait; false when none does. */
-static bool leasttag (const mt_sched_t *G, mt_units_t *least) {
+/* The least tag of the workspaces with waiting requests; false: none has. */
+static bool min_tag (const mt_sched_t *G, mt_units_t *least) {
   bool any = false;
   for (size_t i = 0; i < G->naccounts; i++) {
     const mt_account_t *a = G->list[i];
-    if (!a->active || a->waiting + a->rwaiting <= 0) continue;
+    if (!a->active || a->waiting + a->remote_waiting <= 0) continue;
     mt_units_t tag = mtG_tag(a);
     if (!any || tag < *least) *least = tag;
     any = true;
@@ -215,10 +214,11 @@
   return any;
 }
 
-/* Only the domain where work appears lifts; the others learn of it. */
-static void wake (mt_state_t *S, mt_sched_t *G, mt_account_t *a) {
-  bool waits = a->waiting + a->rwaiting > 0;
-  if (waits && !a->active && a->waiting > 0 && a->rwaiting <= 0) {
+/* Lifts a workspace that was idle to the virtual time. Only the domain where
+   its requests arrive does so; the others receive the lift in an exchange. */
+static void lift_idle (mt_state_t *S, mt_sched_t *G, mt_account_t *a) {
+  bool waits = a->waiting + a->remote_waiting > 0;
+  if (waits && !a->active && a->waiting > 0 && a->remote_waiting <= 0) {
     mt_units_t behind = G->vtime - mtG_tag(a);
     if (behind > 0) {
       a->lift += behind;
@@ -229,6 +229,7 @@
   a->active = waits;
 }
 
+/* Forgives the debt beyond DEBT_LIMIT over the virtual time. */
 static void forgive (mt_state_t *S, mt_sched_t *G, mt_account_t *a) {
   mt_units_t ahead = mtG_tag(a) - G->vtime - DEBT_LIMIT;
   if (!a->active || ahead <= 0) return;
@@ -237,10 +238,10 @@
   mtR_count(S, MT_C_DEBT_FORGIVEN);
 }
 
-void mtS_settle (mt_state_t *S, mt_sched_t *G) {
+void mtS_update_tags (mt_state_t *S, mt_sched_t *G) {
   mt_units_t least = 0;
-  if (leasttag(G, &least)) G->vtime = mt_max(G->vtime, least);
-  for (size_t i = 0; i < G->naccounts; i++) wake(S, G, G->list[i]);
+  if (min_tag(G, &least)) G->vtime = mt_max(G->vtime, least);
+  for (size_t i = 0; i < G->naccounts; i++) lift_idle(S, G, G->list[i]);
   for (size_t i = 0; i < G->naccounts; i++) forgive(S, G, G->list[i]);
 }
 
@@ -248,12 +249,12 @@
 
 /* {== Exchange ========================================================= */
 
-static mt_remote_t *findremote (mt_sched_t *G, mt_id_t domain) {
+static mt_remote_t *get_remote (mt_sched_t *G, mt_id_t domain) {
   for (size_t i = 0; i < G->nremotes; i++)
     if (G->remotes[i]->domain == domain) return G->remotes[i];
   mt_remote_t *r = mtV_new(sizeof *r);
   r->domain = domain;
-  r->wantsfull = true;
+  r->needs_full = true;
   *mtV_push(G->remotes, G->nremotes, G->remotes_cap) = r;
   return r;
 }
@@ -268,9 +269,10 @@
   d->current = current;
 }
 
-/* Gives a scheduler without history its own domain's totals back. */
-static void giveback (mt_state_t *S, mt_sched_t *G, mt_id_t to,
-                      const mt_remote_t *d) {
+/* Sends a scheduler that has just started its own domain's totals, as last
+   received from there. */
+static void send_echo (mt_state_t *S, mt_sched_t *G, mt_id_t to,
+                       const mt_remote_t *d) {
   mt_msg_t m = {.kind = MT_M_EXCHANGE};
   mt_exchange_t *x = &m.u.exchange;
   *x = (mt_exchange_t){
@@ -290,17 +292,17 @@
   free(x->rows);
 }
 
-static void learnrow (mt_sched_t *G, mt_remote_t *d,
-                      const mt_ws_row_t *from) {
+static void merge_row (mt_sched_t *G, mt_remote_t *d,
+                       const mt_ws_row_t *from) {
   mt_account_t *a = mtS_account(G, from->ws);
   mt_ws_row_t *old = mtV_get(&d->rows, from->ws);
   if (old != NULL) sumremote(a, old, d->current, -1);
-  sumremote(a, keeprow(&d->rows, from), d->current, 1);
+  sumremote(a, store_row(&d->rows, from), d->current, 1);
   a->lift = mt_max(a->lift, from->lift);
   a->forgiven = mt_max(a->forgiven, from->forgiven);
 }
 
-void mtS_learn (mt_state_t *S, mt_sched_t *G, mt_id_t from,
+void mtS_merge (mt_state_t *S, mt_sched_t *G, mt_id_t from,
                 const mt_exchange_t *x) {
   G->vtime = mt_max(G->vtime, x->vtime);
   if (x->echo) {
@@ -314,17 +316,17 @@
     return;
   }
   if (x->domain == G->domain) return;
-  mt_remote_t *d = findremote(G, x->domain);
-  d->wantsfull |= d->boot != x->boot;
+  mt_remote_t *d = get_remote(G, x->domain);
+  d->needs_full |= d->boot != x->boot;
   d->boot = x->boot;
-  d->heard = S->now;
+  d->last_received = S->now;
   if (x->full) {
     setcurrent(G, d, false);
     mtV_each (&d->rows, i) droplanes(d->rows.vals[i]);
   }
   setcurrent(G, d, true);
-  for (size_t i = 0; i < x->nrows; i++) learnrow(G, d, &x->rows[i]);
-  if (x->fresh) giveback(S, G, from, d);
+  for (size_t i = 0; i < x->nrows; i++) merge_row(G, d, &x->rows[i]);
+  if (x->fresh) send_echo(S, G, from, d);
 }
 
 void mtS_restore (mt_state_t *S, mt_sched_t *G) {
@@ -336,41 +338,41 @@
   }
 }
 
-/* Takes the waiting work out of a row; what runs stays. */
-static void nowaiting (mt_ws_row_t *r) {
+/* Clears a row's waiting requests; the estimate of running ones stays. */
+static void clear_waiting (mt_ws_row_t *r) {
   mt_units_t pending = r->pending;
   droplanes(r);
   r->pending = pending;
 }
 
-void mtS_nothingthere (mt_sched_t *G, mt_id_t edge, mt_id_t domain,
-                       mt_id_t ws) {
+void mtS_clear_waiting (mt_sched_t *G, mt_id_t edge, mt_id_t domain,
+                        mt_id_t ws) {
   mt_account_t *a = mtS_account(G, ws);
   if (edge != 0) {
-    mt_ws_row_t *r = mtV_get(&findedge(G, edge)->rows, ws);
+    mt_ws_row_t *r = mtV_get(&get_edge(G, edge)->rows, ws);
     if (r == NULL) return;
     sumlocal(a, r, -1);
-    nowaiting(r);
+    clear_waiting(r);
     sumlocal(a, r, 1);
     return;
   }
-  mt_remote_t *d = findremote(G, domain);
+  mt_remote_t *d = get_remote(G, domain);
   mt_ws_row_t *r = mtV_get(&d->rows, ws);
   if (r == NULL) return;
   sumremote(a, r, d->current, -1);
-  nowaiting(r);
+  clear_waiting(r);
   sumremote(a, r, d->current, 1);
 }
 
 void mtS_expire (mt_state_t *S, mt_sched_t *G) {
   for (size_t i = 0; i < G->nremotes; i++) {
     mt_remote_t *d = G->remotes[i];
-    if (d->current && S->now - d->heard > MT_EXCHANGE_TTL_MS)
+    if (d->current && S->now - d->last_received > MT_EXCHANGE_TTL_MS)
       setcurrent(G, d, false);
   }
 }
 
-/* One workspace of this domain as the other domains are told of it. */
+/* Fills in the row of a workspace that goes to the other domains. */
 static void summarise (const mt_sched_t *G, const mt_account_t *a,
                        mt_ws_row_t *out) {
   *out =
@@ -395,8 +397,9 @@
   }
 }
 
-/* The domains that share this pool: those with targets of it or routers. */
-static size_t sharedwith (mt_state_t *S, const mt_sched_t *G, mt_id_t *out) {
+/* The domains to exchange with: those with routers or targets of the pool. */
+static size_t sharing_domains (mt_state_t *S, const mt_sched_t *G,
+                               mt_id_t *out) {
   size_t n = mtM_domains(S, out);
   for (size_t i = 0; i < S->fleet->ntargets && n < MT_MAX_DOMAINS; i++) {
     const mt_target_t *t = &S->fleet->targets[i];
@@ -408,68 +411,70 @@
   return n;
 }
 
-static bool worthtelling (const mt_account_t *a, bool full) {
+static bool needs_sending (const mt_account_t *a, bool full) {
   return a->dirty ||
          (full && (totalof(a) > 0 || a->waiting > 0 || a->lift > 0));
 }
 
-static void sendexchange (mt_state_t *S, mt_sched_t *G, mt_msg_t *m,
-                          mt_id_t domain) {
+static void send_to_domain (mt_state_t *S, mt_sched_t *G, mt_msg_t *m,
+                            mt_id_t domain) {
   mt_id_t to = mtM_ranked(S, domain, MT_ROLE_POOL(G->pool), 0);
   if (to == 0 || domain == G->domain) return;
   m->u.exchange.todomain = domain;
   mtR_send(S, to, m);
 }
 
-/* Spaces the exchanges so that they stay within their bytes per second. */
-static void pace (mt_sched_t *G, uint64_t bytes) {
-  mt_ms_t due = bytes * 1000 / MT_EXCHANGE_BYTES;
+/* Sets the interval of exchanges so that they stay within
+   MT_EXCHANGE_BYTES_PER_S. */
+static void set_interval (mt_sched_t *G, uint64_t bytes) {
+  mt_ms_t due = bytes * 1000 / MT_EXCHANGE_BYTES_PER_S;
   G->interval = mt_min(mt_max(due, MT_EXCHANGE_MIN_MS), MT_EXCHANGE_MAX_MS);
 }
 
-void mtS_tell (mt_state_t *S, mt_sched_t *G, bool full) {
+void mtS_send_exchange (mt_state_t *S, mt_sched_t *G, bool full) {
   mt_msg_t m = {.kind = MT_M_EXCHANGE};
   mt_exchange_t *x = &m.u.exchange;
   for (size_t i = 0; i < G->nremotes; i++) {
-    full |= G->remotes[i]->wantsfull;
-    G->remotes[i]->wantsfull = false;
+    full |= G->remotes[i]->needs_full;
+    G->remotes[i]->needs_full = false;
   }
   *x = (mt_exchange_t){
       .domain = G->domain, .pool = G->pool, .fresh = G->fresh, .full = full};
   x->boot = S->members.self->node.boot;
   x->vtime = G->vtime;
-  bool alive = false;
+  bool busy = false;
   for (size_t i = 0; i < G->naccounts; i++) {
     mt_account_t *a = G->list[i];
-    alive |= a->waiting > 0 || a->pending > 0;
-    if (!worthtelling(a, full)) continue;
+    busy |= a->waiting > 0 || a->pending > 0;
+    if (!needs_sending(a, full)) continue;
     summarise(G, a, mtV_push(x->rows, x->nrows, x->rows_cap));
-    a->told = a->waiting;
+    a->reported = a->waiting;
     a->dirty = false;
   }
   G->urgent = false;
   uint64_t before = S->counts.sentbytes[MT_M_EXCHANGE];
-  bool keepalive = alive && S->now - G->lasttold >= MT_EXCHANGE_TTL_MS / 3;
+  bool keepalive =
+      busy && S->now - G->last_exchange >= MT_EXCHANGE_TTL_MS / 3;
   if (x->nrows > 0 || G->fresh || keepalive) {
     mt_id_t domains[MT_MAX_DOMAINS];
-    size_t n = sharedwith(S, G, domains);
-    for (size_t i = 0; i < n; i++) sendexchange(S, G, &m, domains[i]);
-    G->lasttold = S->now;
+    size_t n = sharing_domains(S, G, domains);
+    for (size_t i = 0; i < n; i++) send_to_domain(S, G, &m, domains[i]);
+    G->last_exchange = S->now;
     G->fresh = false;
   }
-  pace(G, S->counts.sentbytes[MT_M_EXCHANGE] - before);
+  set_interval(G, S->counts.sentbytes[MT_M_EXCHANGE] - before);
   for (size_t i = 0; i < x->nrows; i++) free(x->rows[i].backlogs);
   free(x->rows);
 }
 
-void mtS_urgent (mt_state_t *S, mt_sched_t *G) {
+void mtS_check_urgent (mt_state_t *S, mt_sched_t *G) {
   (void)S;
   for (size_t i = 0; i < G->naccounts; i++) {
     const mt_account_t *a = G->list[i];
     int32_t left = a->waiting;
-    for (size_t j = 0; j < G->nunseen; j++)
-      left -= G->unseen[j].ws == a->ws && G->unseen[j].edge != 0;
-    if (left > 0 && left >= 2 * a->told) G->urgent = true;
+    for (size_t j = 0; j < G->nunacked; j++)
+      left -= G->unacked[j].ws == a->ws && G->unacked[j].edge != 0;
+    if (left > 0 && left >= 2 * a->reported) G->urgent = true;
   }
 }
 
@@ -478,18 +483,18 @@
   free(G->list);
   mtV_free(&G->accounts);
   for (size_t i = 0; i < G->nedges; i++) {
-    freemap(&G->edges[i]->rows);
+    free_rows(&G->edges[i]->rows);
     mtV_free(&G->edges[i]->running);
     free(G->edges[i]);
   }
   free(G->edges);
   for (size_t i = 0; i < G->nremotes; i++) {
-    freemap(&G->remotes[i]->rows);
+    free_rows(&G->remotes[i]->rows);
     free(G->remotes[i]);
   }
   free(G->remotes);
-  free(G->unseen);
-  mtV_free(&G->held);
+  free(G->unacked);
+  mtV_free(&G->in_backoff);
 }
 
 /* }== */
--- a/src/mtledger.h
+++ b/src/mtledger.h
@@ -1,54 +1,58 @@
 /*
-** mtledger.h - the accounts of one scheduler: service, debts, what others
-** told
+** mtledger.h - service accounts of one scheduler: reports, exchanges, tags
 **
-** Served totals only grow and are merged by maximum; reports are absolute,
-** so a repeated or late one does no harm. A workspace's tag is served +
-** pending + lift - forgiven; see docs/DESIGN.md, "Accounts".
+** Totals of service never decrease and are merged by maximum; reports carry
+** absolute values, so a repeated or late one does no harm. A workspace's tag
+** is served + pending + lift - forgiven: `lift` raises the tag of one that
+** was idle to the virtual time, `forgiven` lowers that of one too far ahead.
+** See docs/DESIGN.md, "Accounts".
 */
 #ifndef mtledger_h
 #define mtledger_h
 
 #include "mtstate.h"
 
-#define MT_TAKEN_UNUSED 0
-#define MT_TAKEN_USED 1
-#define MT_TAKEN_UNREACHABLE 2 /* the target could not be reached */
+/* Results of a grant. */
+#define MT_GRANT_UNUSED 0 /* nothing waited, or the grant was stale */
+#define MT_GRANT_USED 1
+#define MT_GRANT_UNREACHABLE 2 /* target unknown, leaving or in backoff */
 
-/* Takes in a router's report. */
+/* Merges a router's demand report; an outdated one is ignored. */
 void mtS_report (mt_state_t *S, mt_sched_t *G, mt_id_t from,
                  const mt_demand_t *d, uint64_t clock);
 
-/* Marks the views of routers that are gone, and revives returned ones. */
-void mtS_routers (mt_state_t *S, mt_sched_t *G);
+/* Marks the routers that have left or died and drops their demand. */
+void mtS_mark_dead (mt_state_t *S, mt_sched_t *G);
 
-/* Takes in what another domain's scheduler told. */
-void mtS_learn (mt_state_t *S, mt_sched_t *G, mt_id_t from,
+/* Merges an exchange from another domain's scheduler. */
+void mtS_merge (mt_state_t *S, mt_sched_t *G, mt_id_t from,
                 const mt_exchange_t *x);
 
-/* A router, or else a domain, declined: nothing of this workspace waits
- * there. */
-void mtS_nothingthere (mt_sched_t *G, mt_id_t edge, mt_id_t domain,
-                       mt_id_t ws);
+/* A router, or with edge 0 a domain, did not use a grant: drops the requests
+   of this workspace that were reported as waiting there. */
+void mtS_clear_waiting (mt_sched_t *G, mt_id_t edge, mt_id_t domain,
+                        mt_id_t ws);
 
-/* Tells the other domains what changed, or everything. */
-void mtS_tell (mt_state_t *S, mt_sched_t *G, bool full);
+/* Sends the accounts that changed, or all of them, to the other domains. */
+void mtS_send_exchange (mt_state_t *S, mt_sched_t *G, bool full);
 
-/* Notes that the other domains should hear of waiting work at once. */
-void mtS_urgent (mt_state_t *S, mt_sched_t *G);
+/* Sets `urgent` when a workspace has waiting requests without a grant, at
+   least twice as many as the last exchange had. */
+void mtS_check_urgent (mt_state_t *S, mt_sched_t *G);
 
 /*
-** Brings lifts, debts and the scheduler's least tag up to date. One that was
-** idle brings no credit; one far ahead is forgiven down to the limit.
+** Updates the virtual time, lifts and forgiven debt. A workspace that was
+** idle gets no credit for it; one far ahead is forgiven down to the limit.
 */
-void mtS_settle (mt_state_t *S, mt_sched_t *G);
+void mtS_update_tags (mt_state_t *S, mt_sched_t *G);
 
-/* After a takeover: adds what only other domains still remember. */
+/* After a takeover: adds the service that only other domains know of. */
 void mtS_restore (mt_state_t *S, mt_sched_t *G);
 
-/* Drops what other domains have not repeated in time. */
+/* Drops the demand of domains that sent nothing for MT_EXCHANGE_TTL_MS. */
 void mtS_expire (mt_state_t *S, mt_sched_t *G);
 
+/* The account of a workspace, created when missing. */
 mt_account_t *mtS_account (mt_sched_t *G, mt_id_t ws);
 void mtS_close (mt_sched_t *G);
 
--- a/src/mtlimits.h
+++ b/src/mtlimits.h
@@ -1,19 +1,20 @@
 /*
-** mtlimits.h - every size, count and time limit of the project
+** mtlimits.h - sizes, counts and time limits shared by several modules
 */
 #ifndef mtlimits_h
 #define mtlimits_h
 
 /* {== Names and sizes ================================================== */
 
-#define MT_NAME_MAX 63             /* bytes of any declared name */
-#define MT_KEY_MAX 255             /* bytes of a caller's key */
-#define MT_URL_MAX 255             /* bytes of a target's address */
-#define MT_BODY_MAX (8u << 20)     /* bytes of one request's body */
-#define MT_VALUE_MAX (1u << 20)    /* bytes of one stored value */
-#define MT_FRAME_MAX (2u << 20)    /* bytes of one peer frame */
-#define MT_PROGRAM_MAX (64u << 10) /* bytes of one policy program */
-#define MT_CHUNK_MAX (256u << 10)  /* bytes kept for one slow caller */
+#define MT_NAME_MAX 63          /* bytes of a configured name, without NUL */
+#define MT_API_KEY_MAX 255      /* bytes of a caller's bearer key */
+#define MT_URL_MAX 255          /* bytes of a target's URL, without NUL */
+#define MT_BODY_MAX (8u << 20)  /* bytes of a request's body */
+#define MT_VALUE_MAX (1u << 20) /* bytes of a value in the store */
+#define MT_FRAME_MAX (2u << 20) /* bytes of a frame between routers */
+#define MT_PROGRAM_MAX (64u << 10) /* bytes of a policy program */
+/* Unsent bytes of a slow caller above which its target is not read. */
+#define MT_BACKLOG_MAX (256u << 10)
 
 /* }== */
 
@@ -24,64 +25,67 @@
 #define MT_MAX_POOLS 128
 #define MT_MAX_WORKSPACES 16384
 #define MT_MAX_TARGETS 8192
-#define MT_POOL_TARGETS 512    /* targets of one pool */
-#define MT_MAX_WAITING 8192    /* waiting requests, one router: some 94 MB */
-#define MT_MAX_RUNNING 16384   /* requests in progress, one router */
-#define MT_WS_WAITING 4096     /* default waiting of a workspace */
-#define MT_AFFINITY_WINDOW 256 /* requests looked at for a prefix */
-#define MT_BUCKETS 64          /* parts that workspaces are split in */
-#define MT_MAX_ATTEMPTS 3      /* attempts of one request */
-#define MT_REPLICAS 2          /* routers that hold a pool's state */
-#define MT_WATCHERS 2          /* routers that watch, per domain */
-#define MT_LINKS 2             /* links per pair of domains */
+#define MT_POOL_TARGETS_MAX 512    /* targets of one pool */
+#define MT_MAX_WAITING 8192        /* queued in one router: some 94 MB */
+#define MT_MAX_RUNNING 16384       /* requests in progress at one router */
+#define MT_WS_WAITING_DEFAULT 4096 /* queued requests of one workspace */
+#define MT_AFFINITY_WINDOW 256     /* requests searched for affinity */
+/* Sections of the stored configuration over which workspaces are hashed. */
+#define MT_WS_SECTIONS 64
+#define MT_MAX_ATTEMPTS 3   /* attempts at one request */
+#define MT_REPLICAS 2       /* routers that hold a scheduler's state */
+#define MT_WATCHERS 2       /* routers per domain that watch the store */
+#define MT_BORDER_ROUTERS 2 /* per domain: link it to the others */
 
 /* }== */
 
 /* {== Times, in milliseconds =========================================== */
 
 #define MT_TICK_MS 50
-#define MT_BEAT_MS 500          /* heartbeat inside a domain */
-#define MT_SUSPECT_MS 1500      /* silence that raises suspicion */
-#define MT_DEAD_MS 3000         /* silence that ends a member */
-#define MT_FORGET_MS 600000     /* time a dead member is remembered */
-#define MT_PAUSE_MS 1200        /* gap between ticks that is a pause */
-#define MT_DEMAND_MS 1000       /* full demand report */
-#define MT_BATCH_MS 200         /* charges and counts that can wait */
-#define MT_EXCHANGE_MIN_MS 50   /* totals between domains, at most */
-#define MT_EXCHANGE_MAX_MS 1000 /* and at least this often */
-#define MT_EXCHANGE_BYTES 4000  /* a second, of one scheduler */
-#define MT_EXCHANGE_TTL_MS 3000 /* life of what another domain said */
-#define MT_OFFER_MS 1500        /* life of an unanswered grant */
-#define MT_GRANT_STALE_MS 2000  /* age at which a grant is refused */
-#define MT_HOLD_MS 1000         /* rest of a target that failed */
-#define MT_WAIT_MS 120000       /* default longest wait */
-#define MT_RETRY_MS 50          /* first backoff of a retry */
-#define MT_CLAIM_MS 2000        /* longest wait for a claim */
-#define MT_WATCH_MS 10000       /* one watch call */
-#define MT_POLL_MS 5000         /* jittered fallback of a non-watcher */
-#define MT_CONNECT_MS 2000
-#define MT_IO_MS 60000          /* silence of a target mid answer */
-#define MT_CALLER_CHECK_MS 1000 /* look for callers that have left */
-#define MT_RESUME_MS 600000     /* life of a resume token */
+#define MT_HEARTBEAT_MS 500     /* heartbeat interval inside a domain */
+#define MT_SUSPECT_MS 1500      /* silence that makes a member suspect */
+#define MT_DEAD_MS 3000         /* silence that makes a member dead */
+#define MT_FORGET_MS 600000     /* time that a dead member is remembered */
+#define MT_PAUSE_MS 1200        /* gap between ticks that counts as a pause */
+#define MT_DEMAND_MS 1000       /* interval of full demand reports */
+#define MT_BATCH_MS 200         /* interval of reports that can wait */
+#define MT_EXCHANGE_MIN_MS 50   /* shortest interval of exchanges */
+#define MT_EXCHANGE_MAX_MS 1000 /* longest interval of exchanges */
+#define MT_EXCHANGE_BYTES_PER_S 4000 /* exchanges of one scheduler */
+#define MT_EXCHANGE_TTL_MS 3000  /* lifetime of a remote domain's demand */
+#define MT_GRANT_TIMEOUT_MS 1500 /* until a grant or offer is taken back */
+/* Age of the demand report that a grant answers at which it is rejected. */
+#define MT_GRANT_STALE_MS 2000
+#define MT_TARGET_BACKOFF_MS 1000  /* no request to a target that failed */
+#define MT_WAIT_MAX_MS 120000      /* longest wait in a queue; the default */
+#define MT_RETRY_BACKOFF_MS 50     /* doubled by each attempt */
+#define MT_CLAIM_TIMEOUT_MS 2000   /* until a claim is no longer retried */
+#define MT_LONG_POLL_MS 10000      /* one watch request to the store */
+#define MT_POLL_MS 5000            /* until a router checks its watch role */
+#define MT_CONNECT_TIMEOUT_MS 2000 /* also silence of the store */
+#define MT_TARGET_IDLE_MS 60000    /* silence of a target in an attempt */
+#define MT_CALLER_CHECK_MS 1000    /* interval of checks for lost callers */
+#define MT_RESUME_TOKEN_MS 600000  /* lifetime of a resume token */
 
 /* }== */
 
 /* {== Sharing ========================================================== */
 
-#define MT_UNIT 10000 /* units of one token at share one */
+/* mt_units_t per unit of cost at share 1; at MT_SHARE_MAX it is still 10. */
+#define MT_UNIT_SCALE 10000
 #define MT_SHARE_MAX 1000
-#define MT_COST_START 64       /* estimate before anything is known */
-#define MT_COST_MAX 65536      /* largest cost that is charged ahead */
-#define MT_DEBT_TOKENS 262144  /* lead beyond which debt is forgiven */
-#define MT_RETRY_BUDGET_PCT 10 /* retries allowed per 100 requests */
-#define MT_RETRY_FLOOR 10      /* retries always allowed per second */
+#define MT_COST_DEFAULT 64        /* estimate until requests have ended */
+#define MT_COST_MAX 65536         /* largest estimate charged in advance */
+#define MT_DEBT_TOKENS_MAX 262144 /* debt above it is forgiven */
+#define MT_RETRY_BUDGET_PCT 10    /* retries allowed per 100 requests */
+#define MT_RETRIES_PER_S_MIN 10   /* retries allowed at any request rate */
 
 /* }== */
 
 /* {== Policy programs ================================================== */
 
-#define MT_POLICY_STEPS 20000      /* instructions of one decision */
-#define MT_POLICY_BYTES (1u << 20) /* memory of one program */
+#define MT_POLICY_STEPS 20000      /* Lua instructions per decision */
+#define MT_POLICY_BYTES (1u << 20) /* memory of a program's Lua state */
 
 /* }== */
 
--- a/src/mtmember.c
+++ b/src/mtmember.c
@@ -1,5 +1,5 @@
 /*
-** mtmember.c - who is alive: heartbeats, incarnations, roles
+** mtmember.c - membership of routers: heartbeats, incarnations, roles
 */
 #include <stdio.h>
 #include <stdlib.h>
@@ -7,28 +7,29 @@
 
 #include "mtmember.h"
 
-#define BEAT_PER_MEMBER_MS 40 /* heartbeats slow down in large domains */
-#define CROSS_MS 1000         /* heartbeat between domains */
-#define RECENT_MS 8000        /* changes that a small view carries */
-#define FULL_GAP_MS 5000 /* least time between whole views to one router */
-#define FULL_AFTER 3     /* mismatches before a whole view goes out */
-#define DOMAIN_SILENT_MS 10000 /* silence that ends a whole domain */
-#define TELL_FANOUT 3          /* routers told at once of a change */
+#define HEARTBEAT_PER_MEMBER_MS 40 /* longer intervals in large domains */
+#define CROSS_HEARTBEAT_MS 1000    /* interval between domains */
+#define RECENT_MS 8000             /* age of the changes in a partial view */
+#define VIEW_GAP_MS 5000     /* shortest gap of full views to one router */
+#define VIEW_MISMATCHES 3    /* mismatches before a full view is sent */
+#define DOMAIN_DEAD_MS 10000 /* silence after which a domain is dead */
 
 /* {== Entries ========================================================== */
 
+/* An entry's addend in the view digest; 0 for one that is not live. */
 static uint64_t entrydigest (const mt_member_t *m) {
   if (m->node.state == MT_DEAD || m->node.state == MT_LEFT) return 0;
   return mtV_mix(mtV_mix(m->id, m->node.inc), m->node.state);
 }
 
+/* Updates the digest; `before` is the entry's addend before its change. */
 static void changed (mt_state_t *S, mt_member_t *m, uint64_t before) {
   S->members.digest += entrydigest(m) - before;
   S->members.epoch++;
   m->changed = S->now;
 }
 
-static mt_member_t *enternode (mt_state_t *S, const mt_node_t *n) {
+static mt_member_t *add_member (mt_state_t *S, const mt_node_t *n) {
   mt_member_t *m = mtV_new(sizeof *m);
   m->node = *n;
   m->id = mtV_id(n->name, strlen(n->name));
@@ -46,23 +47,26 @@
   return m->node.state == MT_ALIVE && !m->suspect;
 }
 
-static void die (mt_state_t *S, mt_member_t *m) {
+static void mark_dead (mt_state_t *S, mt_member_t *m) {
   uint64_t before = entrydigest(m);
   m->node.state = MT_DEAD;
   m->suspect = false;
   changed(S, m, before);
   mtR_count(S, MT_C_DEATHS);
-  mtR_log(S, MT_WARN, MT_L_PEER, "router %s is dead", m->node.name);
+  mtR_log(S, MT_WARN, MT_L_PEER,
+          "router %s is dead: no message within its time limit",
+          m->node.name);
 }
 
-/* Raises this router's own incarnation above a report of its death. */
+/* Raises this router's incarnation above that of a wrong report about it. */
 static void refute (mt_state_t *S, uint64_t inc) {
   mt_member_t *self = S->members.self;
   uint64_t before = entrydigest(self);
   self->node.inc = mt_max(self->node.inc, inc) + 1;
   changed(S, self, before);
-  S->members.nextbeat = S->now;
-  mtR_log(S, MT_WARN, MT_L_PEER, "others took this router for dead; refuted");
+  S->members.next_heartbeat = S->now;
+  mtR_log(S, MT_WARN, MT_L_PEER,
+          "a peer reported a wrong state of this router; incarnation raised");
 }
 
 static void mergeself (mt_state_t *S, const mt_node_t *n) {
@@ -72,9 +76,9 @@
   refute(S, n->inc);
 }
 
-/* True when we have a better source than what is told: our own ears. */
-static bool heardlately (const mt_state_t *S, const mt_member_t *m) {
-  return m->heard != 0 && S->now - m->heard < MT_SUSPECT_MS;
+/* True when this router itself has had a message from the member lately. */
+static bool received_recently (const mt_state_t *S, const mt_member_t *m) {
+  return m->last_received != 0 && S->now - m->last_received < MT_SUSPECT_MS;
 }
 
 static void mergenode (mt_state_t *S, const mt_node_t *n) {
@@ -86,14 +90,14 @@
   }
   if (m == NULL) {
     if (S->members.byid.used >= MT_MAX_NODES || n->state >= MT_LEFT) return;
-    enternode(S, n);
-    mtR_log(S, MT_INFO, MT_L_PEER, "router %s joins in %s", n->name,
+    add_member(S, n);
+    mtR_log(S, MT_INFO, MT_L_PEER, "router %s joined in domain %s", n->name,
             n->domain);
     return;
   }
   if (n->inc < m->node.inc) return;
   if (n->inc == m->node.inc && n->state <= m->node.state) return;
-  if (n->inc == m->node.inc && n->state == MT_DEAD && heardlately(S, m))
+  if (n->inc == m->node.inc && n->state == MT_DEAD && received_recently(S, m))
     return;
   uint64_t before = entrydigest(m);
   m->node = *n;
@@ -105,16 +109,16 @@
 
 /* {== Sending ========================================================== */
 
-static void sendbeat (mt_state_t *S, mt_member_t *m) {
+static void send_heartbeat (mt_state_t *S, mt_member_t *m) {
   mt_msg_t msg = {.kind = MT_M_HEARTBEAT};
   mt_member_t *self = S->members.self;
   msg.u.heartbeat = (mt_heartbeat_t){self->node.inc, self->node.state,
                                      S->conf.revision, S->members.digest};
-  m->beatsent = S->now;
+  m->heartbeat_sent = S->now;
   mtR_send(S, m->id, &msg);
 }
 
-/* Sends the entries that changed lately, or all of them. */
+/* Sends the entries that changed within RECENT_MS, or all of them. */
 static void sendview (mt_state_t *S, mt_member_t *to, bool all) {
   mt_node_t *nodes = mtV_new(S->members.byid.used * sizeof *nodes);
   size_t n = 0;
@@ -126,15 +130,15 @@
   msg.u.view.nodes = nodes;
   msg.u.view.n = n;
   if (n > 0) mtR_send(S, to->id, &msg);
-  if (all) to->fullsent = S->now;
+  if (all) to->view_sent = S->now;
   free(nodes);
 }
 
-static void answermismatch (mt_state_t *S, mt_member_t *m) {
+static void handle_mismatch (mt_state_t *S, mt_member_t *m) {
   m->mismatches++;
-  bool first = m->fullsent == 0;
-  bool due =
-      m->mismatches >= FULL_AFTER && S->now - m->fullsent >= FULL_GAP_MS;
+  bool first = m->view_sent == 0;
+  bool due = m->mismatches >= VIEW_MISMATCHES &&
+             S->now - m->view_sent >= VIEW_GAP_MS;
   sendview(S, m, first || due);
 }
 
@@ -142,10 +146,10 @@
 
 /* {== Messages ========================================================= */
 
-void mtM_heard (mt_state_t *S, mt_id_t from, uint64_t clock) {
+void mtM_received (mt_state_t *S, mt_id_t from, uint64_t clock) {
   mt_member_t *m = mtM_get(S, from);
   if (m == NULL) return;
-  m->heard = S->now;
+  m->last_received = S->now;
   m->clock = clock;
   if (!m->suspect) return;
   m->suspect = false;
@@ -156,11 +160,11 @@
   mergenode(S, n);
   mt_member_t *m = mtM_get(S, mtV_id(n->name, strlen(n->name)));
   if (m == NULL || m == S->members.self) return;
-  mtM_heard(S, m->id, 0);
-  if (m->fullsent == 0) sendview(S, m, true);
+  mtM_received(S, m->id, 0);
+  if (m->view_sent == 0) sendview(S, m, true);
 }
 
-void mtM_beat (mt_state_t *S, mt_id_t from, const mt_heartbeat_t *b) {
+void mtM_heartbeat (mt_state_t *S, mt_id_t from, const mt_heartbeat_t *b) {
   mt_member_t *m = mtM_get(S, from);
   if (m == NULL || m == S->members.self) return;
   mt_node_t n = m->node;
@@ -169,7 +173,7 @@
   bool wasdead = m->node.state == MT_DEAD && b->inc == m->node.inc &&
                  b->state != MT_DEAD;
   if (wasdead) {
-    sendview(S, m, true);
+    sendview(S, m, true); /* it has its death, which the member refutes */
     return;
   }
   mergenode(S, &n);
@@ -177,7 +181,7 @@
   if (b->digest == S->members.digest)
     m->mismatches = 0;
   else
-    answermismatch(S, m);
+    handle_mismatch(S, m);
 }
 
 void mtM_view (mt_state_t *S, mt_id_t from, const mt_node_t *nodes,
@@ -185,13 +189,14 @@
   uint64_t epoch = S->members.epoch;
   for (size_t i = 0; i < n; i++) mergenode(S, &nodes[i]);
   mt_member_t *m = mtM_get(S, from);
-  if (m != NULL && m->fullsent == 0 && m != S->members.self)
+  if (m != NULL && m->view_sent == 0 && m != S->members.self)
     sendview(S, m, true);
   if (epoch != S->members.epoch)
-    S->members.nextbeat = mt_min(S->members.nextbeat, S->now + MT_TICK_MS);
+    S->members.next_heartbeat =
+        mt_min(S->members.next_heartbeat, S->now + MT_TICK_MS);
 }
 
-/* Puts this router in a state and tells everybody, in every domain. */
+/* Sets this router's state and sends it to every router of all domains. */
 static void announce (mt_state_t *S, mt_memberstate_t state) {
   mt_member_t *self = S->members.self;
   if (self->node.state >= state) return;
@@ -200,7 +205,7 @@
   changed(S, self, before);
   mtV_each (&S->members.byid, i) {
     mt_member_t *m = S->members.byid.vals[i];
-    if (m != self && m->node.state < MT_LEFT) sendbeat(S, m);
+    if (m != self && m->node.state < MT_LEFT) send_heartbeat(S, m);
   }
 }
 
@@ -250,7 +255,7 @@
   return 0;
 }
 
-/* The domains with members that are no further gone than `worst`. */
+/* The domains with members whose state is at most `worst`. */
 static size_t domainsof (mt_state_t *S, mt_memberstate_t worst,
                          mt_id_t *out) {
   size_t n = 0;
@@ -270,7 +275,7 @@
 
 /* }== */
 
-/* {== Clock ============================================================ */
+/* {== Timer ============================================================ */
 
 static size_t domainsize (mt_state_t *S) {
   size_t n = 0;
@@ -281,13 +286,14 @@
   return n;
 }
 
-static void judge (mt_state_t *S, mt_member_t *m, mt_ms_t every) {
+/* Marks a silent member suspect or dead; `every`: its heartbeat interval. */
+static void check_liveness (mt_state_t *S, mt_member_t *m, mt_ms_t every) {
   if (m->node.state >= MT_LEFT) return;
-  if (m->heard == 0) m->heard = S->now;
-  mt_ms_t silent = S->now - m->heard;
-  mt_ms_t slack = 3 * (every - MT_BEAT_MS);
+  if (m->last_received == 0) m->last_received = S->now;
+  mt_ms_t silent = S->now - m->last_received;
+  mt_ms_t slack = 3 * (every - MT_HEARTBEAT_MS);
   if (silent > MT_DEAD_MS + slack) {
-    die(S, m);
+    mark_dead(S, m);
   } else if (silent > MT_SUSPECT_MS + slack && !m->suspect) {
     m->suspect = true;
     S->members.epoch++;
@@ -295,81 +301,87 @@
   }
 }
 
-/* The dead get a rare one, so that two sides of a healed cut meet again. */
-static bool wantsbeat (const mt_state_t *S, const mt_member_t *m) {
+/* Dead members get heartbeats at a longer interval, so that the two sides of
+   a network partition find each other after it has healed. */
+static bool wants_heartbeat (const mt_state_t *S, const mt_member_t *m) {
   if (m->node.state < MT_LEFT) return true;
-  return m->node.state == MT_DEAD && m->beatsent + 2 * CROSS_MS < S->now;
+  return m->node.state == MT_DEAD &&
+         m->heartbeat_sent + 2 * CROSS_HEARTBEAT_MS < S->now;
 }
 
-static void beatdomain (mt_state_t *S) {
-  mt_ms_t every = mt_max(MT_BEAT_MS, domainsize(S) * BEAT_PER_MEMBER_MS);
-  bool due = S->now >= S->members.nextbeat;
+static void domain_heartbeats (mt_state_t *S) {
+  mt_ms_t every =
+      mt_max(MT_HEARTBEAT_MS, domainsize(S) * HEARTBEAT_PER_MEMBER_MS);
+  bool due = S->now >= S->members.next_heartbeat;
   mtV_each (&S->members.byid, i) {
     mt_member_t *m = S->members.byid.vals[i];
     if (m == S->members.self || m->domain != S->members.self->domain)
       continue;
-    judge(S, m, every);
-    if (due && wantsbeat(S, m)) sendbeat(S, m);
+    check_liveness(S, m, every);
+    if (due && wants_heartbeat(S, m)) send_heartbeat(S, m);
   }
-  if (due) S->members.nextbeat = S->now + every;
+  if (due) S->members.next_heartbeat = S->now + every;
 }
 
-/* The member of another domain to send to: a gate, or the next if silent. */
-static mt_member_t *crosspeer (mt_state_t *S, mt_id_t domain, int rank) {
-  mt_member_t *gate = NULL;
+/* The member of another domain to send to: the border router of this rank, or
+   if it is silent, the member that was sent to longest ago. */
+static mt_member_t *cross_peer (mt_state_t *S, mt_id_t domain, int rank) {
+  mt_member_t *peer = NULL;
   mt_ms_t oldest = UINT64_MAX;
-  mt_id_t id = mtM_ranked(S, domain, MT_ROLE_GATE, rank);
+  mt_id_t id = mtM_ranked(S, domain, MT_ROLE_BORDER, rank);
   mt_member_t *first = id ? mtM_get(S, id) : NULL;
   if (first != NULL && first->domain == domain &&
-      S->now - first->heard < MT_DEAD_MS)
+      S->now - first->last_received < MT_DEAD_MS)
     return first;
   mtV_each (&S->members.byid, i) {
     mt_member_t *m = S->members.byid.vals[i];
     if (m->domain != domain || m->node.state == MT_LEFT ||
-        m->beatsent >= oldest)
+        m->heartbeat_sent >= oldest)
       continue;
-    oldest = m->beatsent;
-    gate = m;
+    oldest = m->heartbeat_sent;
+    peer = m;
   }
-  return gate;
+  return peer;
 }
 
-/* Ends every member of a domain from which nothing has come for long. */
-static void judgedomain (mt_state_t *S, mt_id_t domain) {
+/* Marks all members of a domain dead when none has sent anything for
+   DOMAIN_DEAD_MS. */
+static void check_domain (mt_state_t *S, mt_id_t domain) {
   mt_ms_t last = 0;
   mtV_each (&S->members.byid, i) {
     mt_member_t *m = S->members.byid.vals[i];
     if (m->domain == domain)
-      last = mt_max(last, mt_max(m->heard, m->changed));
+      last = mt_max(last, mt_max(m->last_received, m->changed));
   }
-  if (S->now - last < DOMAIN_SILENT_MS) return;
+  if (S->now - last < DOMAIN_DEAD_MS) return;
   mtV_each (&S->members.byid, i) {
     mt_member_t *m = S->members.byid.vals[i];
-    if (m->domain == domain && m->node.state < MT_LEFT) die(S, m);
+    if (m->domain == domain && m->node.state < MT_LEFT) mark_dead(S, m);
   }
 }
 
-static void beatcross (mt_state_t *S) {
-  if (S->now < S->members.nextcross) return;
-  S->members.nextcross = S->now + CROSS_MS;
+static void cross_heartbeats (mt_state_t *S) {
+  if (S->now < S->members.next_cross_heartbeat) return;
+  S->members.next_cross_heartbeat = S->now + CROSS_HEARTBEAT_MS;
   mt_member_t *self = S->members.self;
-  bool gate = self->node.state == MT_LEAVING;
-  for (int r = 0; r < MT_LINKS; r++)
-    gate |= mtM_ranked(S, self->domain, MT_ROLE_GATE, r) == self->id;
-  if (!gate) return;
+  bool border = self->node.state == MT_LEAVING;
+  for (int r = 0; r < MT_BORDER_ROUTERS; r++)
+    border |= mtM_ranked(S, self->domain, MT_ROLE_BORDER, r) == self->id;
+  if (!border) return;
   mt_id_t domains[MT_MAX_DOMAINS];
   size_t n = domainsof(S, MT_DEAD, domains);
   for (size_t i = 0; i < n; i++) {
     if (domains[i] == self->domain) continue;
-    judgedomain(S, domains[i]);
-    for (int r = 0; r < MT_LINKS; r++) {
-      mt_member_t *m = crosspeer(S, domains[i], r);
-      if (m != NULL && m->beatsent + CROSS_MS / 2 < S->now) sendbeat(S, m);
+    check_domain(S, domains[i]);
+    for (int r = 0; r < MT_BORDER_ROUTERS; r++) {
+      mt_member_t *m = cross_peer(S, domains[i], r);
+      if (m != NULL && m->heartbeat_sent + CROSS_HEARTBEAT_MS / 2 < S->now)
+        send_heartbeat(S, m);
     }
   }
 }
 
-/* Forgets routers that ended long ago. */
+/* Removes one entry that has been dead or left for MT_FORGET_MS. */
 static void forget (mt_state_t *S) {
   mtV_each (&S->members.byid, i) {
     mt_member_t *m = S->members.byid.vals[i];
@@ -380,7 +392,7 @@
   }
 }
 
-/* Contacts the seeds that no known router answers for. */
+/* Sends a hello to the seeds whose address no known router has. */
 static void contactseeds (mt_state_t *S) {
   for (size_t i = 0; i < S->set.nseeds; i++) {
     const mt_addr_t *a = &S->set.seeds[i];
@@ -400,23 +412,24 @@
 void mtM_tick (mt_state_t *S, mt_ms_t gap) {
   if (gap > MT_PAUSE_MS) {
     mtR_count(S, MT_C_PAUSES);
-    S->members.staleuntil = S->now + 2 * MT_BEAT_MS;
-    S->members.nextbeat = S->now;
+    S->members.paused_until = S->now + 2 * MT_HEARTBEAT_MS;
+    S->members.next_heartbeat = S->now;
     S->members.epoch++;
     mtV_each (&S->members.byid, i) {
       mt_member_t *m = S->members.byid.vals[i];
-      if (m->heard != 0) m->heard = S->now;
+      if (m->last_received != 0) m->last_received = S->now;
     }
-    mtR_log(S, MT_WARN, MT_L_ROUTER,
-            "was paused for %llu ms; takes no role yet",
-            (unsigned long long)gap);
+    mtR_log(
+        S, MT_WARN, MT_L_ROUTER,
+        "process was paused for %llu ms; no grants for two heartbeat intervals",
+        (unsigned long long)gap);
   }
-  if (S->now >= S->members.nextcross) {
+  if (S->now >= S->members.next_cross_heartbeat) {
     contactseeds(S);
     forget(S);
   }
-  beatdomain(S);
-  beatcross(S);
+  domain_heartbeats(S);
+  cross_heartbeats(S);
 }
 
 void mtM_open (mt_state_t *S, uint64_t boot) {
@@ -425,7 +438,7 @@
   memcpy(n.name, S->set.node, sizeof n.name);
   memcpy(n.domain, S->set.domain, sizeof n.domain);
   memcpy(n.region, S->set.region, sizeof n.region);
-  S->members.self = enternode(S, &n);
+  S->members.self = add_member(S, &n);
 }
 
 void mtM_close (mt_state_t *S) {
--- a/src/mtmsg.c
+++ b/src/mtmsg.c
@@ -278,7 +278,7 @@
   l->preferred = getid(&in);
   if (in.left > 0) {
     l->set = getuint(&in, UINT64_MAX);
-    cursor_t ids = getarray(&in, MT_POOL_TARGETS);
+    cursor_t ids = getarray(&in, MT_POOL_TARGETS_MAX);
     l->targets = ids.left ? mtV_new(ids.left * sizeof *l->targets) : NULL;
     while (ids.left > 0 && ids.err == MT_MSG_OK)
       l->targets[l->ntargets++] = getid(&ids);
--- a/src/mtmsg.h
+++ b/src/mtmsg.h
@@ -85,7 +85,7 @@
 /* What a router did with a grant. */
 typedef struct mt_grant_result_t {
   uint64_t grant; /* its id */
-  uint8_t used;   /* MT_TAKEN_UNUSED and so on, see mtledger.h */
+  uint8_t used;   /* MT_GRANT_UNUSED and so on, see mtledger.h */
 } mt_grant_result_t;
 
 /* A router's report to the scheduler of a pool in a domain. */
--- a/src/mtobject.h
+++ b/src/mtobject.h
@@ -1,5 +1,5 @@
 /*
-** mtobject.h - the basic types that every part uses
+** mtobject.h - basic types and macros of all modules
 */
 #ifndef mtobject_h
 #define mtobject_h
@@ -11,25 +11,26 @@
 
 #include "mtlimits.h"
 
-/* A name's 32-bit hash: the same on every node, never zero. */
+/* 32-bit hash of a name: the same on every node, never 0. */
 typedef uint32_t mt_id_t;
 
-/* Milliseconds of the monotonic clock, as the loop reports it; of a gateway,
-   with what its machine slept (boot_clock.h). */
+/* Milliseconds of the event loop's monotonic clock; in a gateway, the time
+   that its box was suspended is included (boot_clock.h). */
 typedef uint64_t mt_ms_t;
 
-/* Service in units: tokens times MT_UNIT, divided by the share. */
+/* Weighted service: cost (tokens times the pool's weights) times
+   MT_UNIT_SCALE, divided by the workspace's share. */
 typedef int64_t mt_units_t;
 
 typedef char mt_name_t[MT_NAME_MAX + 1];
 
-/* A borrowed run of bytes; the owner is named where one is passed. */
+/* Bytes owned by another object; they need not end with NUL. */
 typedef struct mt_bytes_t {
   const char *p;
   size_t n;
 } mt_bytes_t;
 
-/* A result with a place and a reason; `reason` empty means success. */
+/* An error: where in the input and why; an empty `reason` means success. */
 typedef struct mt_fault_t {
   char where[128];
   char reason[160];
--- a/src/mtops.c
+++ b/src/mtops.c
@@ -72,7 +72,7 @@
     const mt_queue_t *q = S->edge.queues.vals[i];
     const char *w = wsname(S, q->ws), *p = poolname(S, q->pool);
     put(t, "martentiller_service_tokens{workspace=\"%s\",pool=\"%s\"} %lld\n",
-        w, p, (long long)(q->served / MT_UNIT));
+        w, p, (long long)(q->served / MT_UNIT_SCALE));
     put(t, "martentiller_waiting{workspace=\"%s\",pool=\"%s\"} %d\n", w, p,
         (int)q->n);
     put(t, "martentiller_running{workspace=\"%s\",pool=\"%s\"} %d\n", w, p,
@@ -82,7 +82,7 @@
     put(t, "martentiller_wait_ms_count{workspace=\"%s\",pool=\"%s\"} %llu\n",
         w, p, (unsigned long long)q->waits);
     put(t, "martentiller_wait_ms_most{workspace=\"%s\",pool=\"%s\"} %llu\n",
-        w, p, (unsigned long long)q->waitmost);
+        w, p, (unsigned long long)q->waitmax);
   }
 }
 
@@ -150,11 +150,12 @@
     const mt_account_t *a = G->list[i];
     json_array_append_new(
         all,
-        json_pack(
-            "{s:s,s:I,s:I,s:i,s:i}", "workspace", wsname(S, a->ws), "tag",
-            (json_int_t)(mtG_tag(a) / MT_UNIT), "served",
-            (json_int_t)((a->retired + a->served + a->rserved) / MT_UNIT),
-            "waiting", a->waiting, "waiting_elsewhere", a->rwaiting));
+        json_pack("{s:s,s:I,s:I,s:i,s:i}", "workspace", wsname(S, a->ws),
+                  "tag", (json_int_t)(mtG_tag(a) / MT_UNIT_SCALE), "served",
+                  (json_int_t)((a->retired + a->served + a->remote_served) /
+                               MT_UNIT_SCALE),
+                  "waiting", a->waiting, "waiting_elsewhere",
+                  a->remote_waiting));
   }
   return all;
 }
--- a/src/mtpeer.c
+++ b/src/mtpeer.c
@@ -349,7 +349,7 @@
   mt_ms_t now = uv_now(N->loop);
   mtV_each (&N->outs, i) {
     mt_out_t *o = N->outs.vals[i];
-    bool stuck = !o->ready && now - o->opened > MT_CONNECT_MS;
+    bool stuck = !o->ready && now - o->opened > MT_CONNECT_TIMEOUT_MS;
     if (now - o->used < IDLE_MS && !stuck) continue;
     closeout(o);
     return;
--- a/src/mtpolicy.c
+++ b/src/mtpolicy.c
@@ -285,8 +285,8 @@
   if (!lua_istable(L, -1))
     luaL_error(L, "place must return an array of target names");
   lua_Unsigned n = lua_rawlen(L, -1);
-  if (n == 0 || n > MT_POOL_TARGETS)
-    luaL_error(L, "place must return 1 to %d names", MT_POOL_TARGETS);
+  if (n == 0 || n > MT_POOL_TARGETS_MAX)
+    luaL_error(L, "place must return 1 to %d names", MT_POOL_TARGETS_MAX);
   for (lua_Unsigned i = 1; i <= n; i++) {
     lua_rawgeti(L, -1, (lua_Integer)i);
     mt_id_t id = targetnamed(L, c);
--- a/src/mtpolicy.h
+++ b/src/mtpolicy.h
@@ -32,7 +32,7 @@
 } mt_policy_request_t;
 
 typedef struct mt_policy_decision_t {
-  mt_id_t targets[MT_POOL_TARGETS];
+  mt_id_t targets[MT_POOL_TARGETS_MAX];
   size_t n; /* 0: any target of the pool */
   int32_t order;
 } mt_policy_decision_t;
--- a/src/mtqueue.c
+++ b/src/mtqueue.c
@@ -1,5 +1,5 @@
 /*
-** mtqueue.c - the edge's queues: waiting requests, charges, what is reported
+** mtqueue.c - a router's request queues: order, charges, demand reports
 */
 #include <stdlib.h>
 #include <string.h>
@@ -8,53 +8,53 @@
 #include "mtmember.h"
 #include "mtqueue.h"
 
-#define SKIPS_MAX 128 /* times a request is passed over for a prefix */
-#define IDLE_FULLS 3  /* full reports after work has ended */
-#define HUNDRED 100
-#define FEW 4           /* waiting requests whose number is told at once */
-#define RECENT_MS 10000 /* what changed since is in every full report */
-#define BUDGET_MAX (100 * HUNDRED)
+#define SKIPS_MAX 128   /* times that a request is passed over for affinity */
+#define FINAL_REPORTS 3 /* full reports after the last request has ended */
+#define RETRY_COST 100  /* of a budget's units, for one retry */
+#define IMMEDIATE_MAX 4 /* queue length up to which changes do not wait */
+#define RECENT_MS 10000 /* full reports omit queues idle for longer */
+#define BUDGET_MAX (100 * RETRY_COST) /* 100 retries */
 
 /* {== Tables =========================================================== */
 
 /* All workspaces share one queue in the first-come-first-served baseline. */
-static mt_id_t queueof (const mt_state_t *S, mt_id_t ws) {
+static mt_id_t queue_ws (const mt_state_t *S, mt_id_t ws) {
   return S->set.fifo ? 1 : ws;
 }
 
 mt_queue_t *mtQ_get (mt_state_t *S, mt_id_t ws, mt_id_t pool) {
-  uint64_t key = mtR_key(queueof(S, ws), pool);
+  uint64_t key = mtR_key(queue_ws(S, ws), pool);
   mt_queue_t *q = mtV_get(&S->edge.queues, key);
   if (q != NULL) return q;
   q = mtV_new(sizeof *q);
-  q->ws = queueof(S, ws);
+  q->ws = queue_ws(S, ws);
   q->pool = pool;
   mtV_put(&S->edge.queues, key, q);
   return q;
 }
 
-static mt_link_t *getlink (mt_state_t *S, mt_id_t domain, mt_id_t pool) {
-  mt_link_t *l = mtV_get(&S->edge.links, mtR_key(domain, pool));
-  if (l != NULL) return l;
-  l = mtV_new(sizeof *l);
-  l->domain = domain;
-  l->pool = pool;
-  mtV_put(&S->edge.links, mtR_key(domain, pool), l);
-  return l;
+static mt_outbox_t *get_outbox (mt_state_t *S, mt_id_t domain, mt_id_t pool) {
+  mt_outbox_t *o = mtV_get(&S->edge.outboxes, mtR_key(domain, pool));
+  if (o != NULL) return o;
+  o = mtV_new(sizeof *o);
+  o->domain = domain;
+  o->pool = pool;
+  mtV_put(&S->edge.outboxes, mtR_key(domain, pool), o);
+  return o;
 }
 
 /*
-** A queue has changed. Its scheduler hears of it at once when that may lead
-** to a grant, else with the next batch.
+** Marks a queue as changed. With `immediate`, because it may lead to a grant,
+** it is reported after this step, else in the next batch.
 */
-static void touch (mt_state_t *S, mt_queue_t *q, bool atonce) {
-  mt_link_t *l = getlink(S, S->members.self->domain, q->pool);
+static void mark_changed (mt_state_t *S, mt_queue_t *q, bool immediate) {
+  mt_outbox_t *o = get_outbox(S, S->members.self->domain, q->pool);
   q->changed = S->now;
-  q->atonce |= atonce;
-  l->atonce |= atonce;
+  q->immediate |= immediate;
+  o->immediate |= immediate;
   if (q->dirty) return;
   q->dirty = true;
-  *mtV_push(l->queues, l->nqueues, l->queues_cap) = q;
+  *mtV_push(o->queues, o->nqueues, o->queues_cap) = q;
 }
 
 static int shareof (const mt_state_t *S, mt_id_t ws) {
@@ -63,14 +63,14 @@
 }
 
 static mt_units_t units (const mt_state_t *S, mt_id_t ws, int64_t cost) {
-  return cost * MT_UNIT / shareof(S, ws);
+  return cost * MT_UNIT_SCALE / shareof(S, ws);
 }
 
 /* }== */
 
 /* {== Order ============================================================ */
 
-static void linkafter (mt_queue_t *q, mt_req_t *at, mt_req_t *r) {
+static void insert_after (mt_queue_t *q, mt_req_t *at, mt_req_t *r) {
   r->prev = at;
   r->next = at ? at->next : q->head;
   if (r->next)
@@ -89,11 +89,11 @@
   while (at && (at->order < r->order ||
                 (at->order == r->order && at->arrived > r->arrived)))
     at = at->prev;
-  linkafter(q, at, r);
+  insert_after(q, at, r);
   q->n++;
   S->edge.waiting++;
   r->state = MT_R_WAITING;
-  touch(S, q, q->n <= FEW);
+  mark_changed(S, q, q->n <= IMMEDIATE_MAX);
 }
 
 void mtQ_remove (mt_state_t *S, mt_req_t *r) {
@@ -109,7 +109,7 @@
   r->prev = r->next = NULL;
   q->n--;
   S->edge.waiting--;
-  touch(S, q, q->n <= FEW);
+  mark_changed(S, q, q->n <= IMMEDIATE_MAX);
 }
 
 static bool mayuse (const mt_req_t *r, mt_id_t target) {
@@ -119,12 +119,13 @@
   return false;
 }
 
-/* How well a request fits a target: 0 not at all, larger is better. */
+/* How well a request suits a target: 0: may not use it, 1: its last attempt
+   failed there, 2: prefers another, 3: prefers none, 4: prefers it. */
 static int fitness (const mt_req_t *r, mt_id_t target) {
   if (!mayuse(r, target)) return 0;
   if (r->avoid == target) return 1;
-  if (r->home == target) return 4;
-  return r->home == 0 ? 3 : 2;
+  if (r->affinity == target) return 4;
+  return r->affinity == 0 ? 3 : 2;
 }
 
 mt_req_t *mtQ_take (mt_state_t *S, mt_id_t ws, mt_id_t pool, mt_id_t target) {
@@ -134,7 +135,8 @@
   for (mt_req_t *r = q->head; r != NULL && (window-- > 0 || best == NULL);
        r = r->next) {
     mt_id_t seen = (mt_id_t)(uintptr_t)mtV_get(&S->edge.sessions, r->session);
-    if (seen != 0 && seen != r->avoid) r->home = seen; /* it may have moved */
+    if (seen != 0 && seen != r->avoid)
+      r->affinity = seen; /* it may have moved since */
     int fit = fitness(r, target);
     if (fit == 0) continue;
     if (best == NULL ||
@@ -148,7 +150,7 @@
   mt_ms_t wait = S->now - best->arrived;
   q->waits++;
   q->waitsum += wait;
-  q->waitmost = mt_max(q->waitmost, wait);
+  q->waitmax = mt_max(q->waitmax, wait);
   return best;
 }
 
@@ -156,26 +158,30 @@
 
 /* {== Charges ========================================================== */
 
-/* What a request is expected to cost beyond `sofar`, in pool units. */
-static int64_t restof (mt_state_t *S, const mt_queue_t *q, int64_t sofar) {
+/* Estimate of what a request costs beyond `sofar`, in the pool's unit: by its
+   workspace's ended requests, else by the pool's, else by a default. */
+static int64_t remaining_cost (mt_state_t *S, const mt_queue_t *q,
+                               int64_t sofar) {
   const mt_costs_t *pool = mtV_get(&S->edge.costs, q->pool);
-  if (mtZ_known(&q->costs)) return mtZ_rest(&q->costs, sofar);
-  if (pool != NULL && mtZ_known(pool)) return mtZ_rest(pool, sofar);
-  return sofar < MT_COST_START ? MT_COST_START - sofar : sofar;
+  if (mtZ_enough(&q->costs)) return mtZ_remaining(&q->costs, sofar);
+  if (pool != NULL && mtZ_enough(pool)) return mtZ_remaining(pool, sofar);
+  return sofar < MT_COST_DEFAULT ? MT_COST_DEFAULT - sofar : sofar;
 }
 
+/* Estimate of the whole cost of the next request of a queue. */
 static mt_units_t estimate (mt_state_t *S, const mt_queue_t *q) {
-  return units(S, q->ws, mt_min(restof(S, q, 0), MT_COST_MAX));
+  return units(S, q->ws, mt_min(remaining_cost(S, q, 0), MT_COST_MAX));
 }
 
-/* Renews the estimate of what a running request will still cost. */
-static void setrest (mt_state_t *S, mt_queue_t *q, mt_req_t *r,
-                     int64_t sofar) {
-  int64_t rest = mt_min(restof(S, q, sofar), MT_COST_MAX);
-  if (r->maxcost > 0) rest = mt_min(rest, mt_max(r->maxcost - sofar, 0));
-  mt_units_t more = units(S, r->ws, rest);
-  q->pending += more - r->rest;
-  r->rest = more;
+/* Updates the estimate of what a running request still costs. */
+static void update_remaining (mt_state_t *S, mt_queue_t *q, mt_req_t *r,
+                              int64_t sofar) {
+  int64_t remaining = mt_min(remaining_cost(S, q, sofar), MT_COST_MAX);
+  if (r->maxcost > 0)
+    remaining = mt_min(remaining, mt_max(r->maxcost - sofar, 0));
+  mt_units_t estimated = units(S, r->ws, remaining);
+  q->pending += estimated - r->remaining;
+  r->remaining = estimated;
 }
 
 static mt_costs_t *poolcosts (mt_state_t *S, mt_id_t pool) {
@@ -186,18 +192,18 @@
   return c;
 }
 
-void mtQ_running (mt_state_t *S, mt_req_t *r, int change) {
+void mtQ_adjust_running (mt_state_t *S, mt_req_t *r, int change) {
   mt_queue_t *q = mtQ_get(S, r->ws, r->pool);
   if (change > 0) {
     r->charged = 0;
-    setrest(S, q, r, 0);
+    update_remaining(S, q, r, 0);
   } else {
-    q->pending -= r->rest;
-    r->rest = 0;
+    q->pending -= r->remaining;
+    r->remaining = 0;
   }
   q->running += change;
   S->edge.inprogress += (size_t)change;
-  touch(S, q, true);
+  mark_changed(S, q, true);
   intptr_t n = (intptr_t)mtV_get(&S->edge.running, r->target) + change;
   if (n > 0)
     mtV_put(&S->edge.running, r->target, (void *)n);
@@ -205,12 +211,13 @@
     mtV_del(&S->edge.running, r->target);
   const mt_target_t *t = mtF_target(S->fleet, r->target);
   mt_id_t own = S->members.self->domain;
-  mt_link_t *l = getlink(S, t && !mtR_alone(S) ? t->domainid : own, r->pool);
-  *mtV_push(l->targets, l->ntargets, l->targets_cap) = r->target;
+  mt_outbox_t *o =
+      get_outbox(S, t && !mtR_standalone(S) ? t->domainid : own, r->pool);
+  *mtV_push(o->targets, o->ntargets, o->targets_cap) = r->target;
 }
 
-/* Adds to what was served; an earlier overcharge is used up first. */
-static void serve (mt_queue_t *q, mt_units_t more) {
+/* Adds service to a queue, less the credit of earlier overcharges. */
+static void add_served (mt_queue_t *q, mt_units_t more) {
   mt_units_t off = mt_min(q->credit, more);
   q->credit -= off;
   q->served += more - off;
@@ -220,10 +227,10 @@
   mt_queue_t *q = mtQ_get(S, r->ws, r->pool);
   mt_units_t total = units(S, r->ws, cost);
   if (total <= r->charged) return;
-  serve(q, total - r->charged);
+  add_served(q, total - r->charged);
   r->charged = total;
-  setrest(S, q, r, cost);
-  touch(S, q, false);
+  update_remaining(S, q, r, cost);
+  mark_changed(S, q, false);
 }
 
 void mtQ_settle (mt_state_t *S, mt_req_t *r, int64_t cost, bool whole) {
@@ -232,22 +239,22 @@
   if (total < r->charged) q->credit += r->charged - total;
   mtQ_charge(S, r, cost);
   if (!whole) return;
-  mtZ_learn(&q->costs, cost);
-  mtZ_learn(poolcosts(S, q->pool), cost);
+  mtZ_add(&q->costs, cost);
+  mtZ_add(poolcosts(S, q->pool), cost);
 }
 
 /* }== */
 
 /* {== Reports ========================================================== */
 
-void mtQ_taken (mt_state_t *S, const mt_grant_t *g, uint8_t used) {
+void mtQ_grant_result (mt_state_t *S, const mt_grant_t *g, uint8_t used) {
   mt_id_t own = S->members.self->domain;
-  mt_link_t *l = getlink(S, g->domain, g->pool);
-  *mtV_push(l->results, l->nresults, l->results_cap) =
+  mt_outbox_t *o = get_outbox(S, g->domain, g->pool);
+  *mtV_push(o->results, o->nresults, o->results_cap) =
       (mt_grant_result_t){g->id, used};
   if (g->domain == own) return;
-  l = getlink(S, own, g->pool);
-  *mtV_push(l->results, l->nresults, l->results_cap) =
+  o = get_outbox(S, own, g->pool);
+  *mtV_push(o->results, o->nresults, o->results_cap) =
       (mt_grant_result_t){g->id, used};
 }
 
@@ -261,7 +268,8 @@
   return l;
 }
 
-/* Queues without policy sets are counted, not walked to the end. */
+/* Fills in a queue's row. Past MT_AFFINITY_WINDOW requests, a queue without
+   target sets is counted instead of searched. */
 static void fillrow (mt_state_t *S, const mt_queue_t *q, mt_ws_row_t *row) {
   *row = (mt_ws_row_t){
       .ws = q->ws, .served = q->served, .pending = mt_max(q->pending, 0)};
@@ -276,7 +284,7 @@
     }
     mt_backlog_t *l = lanefor(row, &cap, r);
     l->waiting++;
-    if (l->preferred == 0) l->preferred = r->home;
+    if (l->preferred == 0) l->preferred = r->affinity;
   }
 }
 
@@ -288,13 +296,14 @@
                       (int32_t)(intptr_t)mtV_get(&S->edge.running, target)};
 }
 
-/* All that waits or runs; `all`: also what has long been quiet. */
-static void fillfull (mt_state_t *S, const mt_link_t *l, mt_demand_t *d,
+/* Fills in a full report: the queues with requests or recent changes, with
+   `all` every queue, and the running requests of each target. */
+static void fillfull (mt_state_t *S, const mt_outbox_t *o, mt_demand_t *d,
                       bool all) {
-  bool own = l->domain == S->members.self->domain;
+  bool own = o->domain == S->members.self->domain;
   mtV_each (&S->edge.queues, i) {
     const mt_queue_t *q = S->edge.queues.vals[i];
-    if (!own || q->pool != l->pool) continue;
+    if (!own || q->pool != o->pool) continue;
     bool quiet = q->n == 0 && q->running == 0;
     if (quiet && !all && S->now - q->changed > RECENT_MS) continue;
     fillrow(S, q, mtV_push(d->rows, d->nrows, d->rows_cap));
@@ -302,18 +311,18 @@
   mtV_each (&S->edge.running, i) {
     const mt_target_t *t =
         mtF_target(S->fleet, (mt_id_t)S->edge.running.keys[i]);
-    if (t != NULL && t->pool == l->pool &&
-        (t->domainid == l->domain || mtR_alone(S)))
+    if (t != NULL && t->pool == o->pool &&
+        (t->domainid == o->domain || mtR_standalone(S)))
       addrunning(S, d, t->id);
   }
 }
 
-static void fillchanges (mt_state_t *S, const mt_link_t *l, mt_demand_t *d,
+static void fillchanges (mt_state_t *S, const mt_outbox_t *o, mt_demand_t *d,
                          bool batch) {
-  for (size_t i = 0; i < l->nqueues; i++)
-    if (batch || l->queues[i]->atonce)
-      fillrow(S, l->queues[i], mtV_push(d->rows, d->nrows, d->rows_cap));
-  for (size_t i = 0; i < l->ntargets; i++) addrunning(S, d, l->targets[i]);
+  for (size_t i = 0; i < o->nqueues; i++)
+    if (batch || o->queues[i]->immediate)
+      fillrow(S, o->queues[i], mtV_push(d->rows, d->nrows, d->rows_cap));
+  for (size_t i = 0; i < o->ntargets; i++) addrunning(S, d, o->targets[i]);
 }
 
 static bool idle (const mt_demand_t *d) {
@@ -322,81 +331,83 @@
   return d->nrunning == 0;
 }
 
-static void sendone (mt_state_t *S, mt_link_t *l, int rank, bool full,
-                     bool batch) {
-  mt_id_t to = mtR_alone(S)
+/* Sends a report to the router of this rank: 0 primary, 1 standby. A router
+   that has had none gets a full one. */
+static void send_report (mt_state_t *S, mt_outbox_t *o, int rank, bool full,
+                         bool batch) {
+  mt_id_t to = mtR_standalone(S)
                    ? (rank ? 0 : S->members.self->id)
-                   : mtM_ranked(S, l->domain, MT_ROLE_POOL(l->pool), rank);
-  if (to == 0 || (rank > 0 && to == l->told[0])) return;
-  bool fresh = l->told[rank] != to;
+                   : mtM_ranked(S, o->domain, MT_ROLE_POOL(o->pool), rank);
+  if (to == 0 || (rank > 0 && to == o->reported[0])) return;
+  bool fresh = o->reported[rank] != to;
   full |= fresh;
-  if (!full && rank > 0) return; /* the second one gets full reports only */
+  if (!full && rank > 0) return; /* the standby gets full reports only */
   mt_msg_t m = {.kind = MT_M_DEMAND};
   mt_demand_t *d = &m.u.demand;
-  *d = (mt_demand_t){.domain = l->domain,
-                     .pool = l->pool,
+  *d = (mt_demand_t){.domain = o->domain,
+                     .pool = o->pool,
                      .full = full,
                      .boot = S->members.self->node.boot};
   if (full)
-    fillfull(S, l, d, fresh);
+    fillfull(S, o, d, fresh);
   else
-    fillchanges(S, l, d, batch);
+    fillchanges(S, o, d, batch);
   if (rank == 0) {
-    d->results = l->results;
-    d->nresults = l->nresults;
+    d->results = o->results;
+    d->nresults = o->nresults;
   }
-  if (full && idle(d) && l->idlefulls > 0) l->idlefulls--;
-  if (!idle(d)) l->idlefulls = IDLE_FULLS;
-  l->told[rank] = to;
+  if (full && idle(d) && o->final_reports > 0) o->final_reports--;
+  if (!idle(d)) o->final_reports = FINAL_REPORTS;
+  o->reported[rank] = to;
   mtR_send(S, to, &m);
   for (size_t i = 0; i < d->nrows; i++) free(d->rows[i].backlogs);
   free(d->rows);
   free(d->running);
 }
 
-/* Drops from the list what has been told; the rest waits for the next batch.
- */
-static void cleartold (mt_link_t *l, bool all) {
+/* Clears what has been reported; the rest waits for the next batch. */
+static void clear_reported (mt_outbox_t *o, bool all) {
   size_t kept = 0;
-  for (size_t i = 0; i < l->nqueues; i++) {
-    mt_queue_t *q = l->queues[i];
-    if (!all && !q->atonce) {
-      l->queues[kept++] = q;
+  for (size_t i = 0; i < o->nqueues; i++) {
+    mt_queue_t *q = o->queues[i];
+    if (!all && !q->immediate) {
+      o->queues[kept++] = q;
       continue;
     }
-    q->dirty = q->atonce = false;
+    q->dirty = q->immediate = false;
   }
-  l->nqueues = kept;
-  l->ntargets = l->nresults = 0;
-  l->atonce = false;
+  o->nqueues = kept;
+  o->ntargets = o->nresults = 0;
+  o->immediate = false;
 }
 
-static void sendlink (mt_state_t *S, mt_link_t *l, bool full, bool batch) {
+static void send_outbox (mt_state_t *S, mt_outbox_t *o, bool full,
+                         bool batch) {
   if (S->fleet == NULL) return;
   for (int rank = 0; rank < MT_REPLICAS; rank++)
-    sendone(S, l, rank, full, batch);
-  cleartold(l, full || batch);
-  if (full) l->lastfull = S->now;
-  if (full || batch) l->lastbatch = S->now;
+    send_report(S, o, rank, full, batch);
+  clear_reported(o, full || batch);
+  if (full) o->lastfull = S->now;
+  if (full || batch) o->lastbatch = S->now;
 }
 
 void mtQ_report (mt_state_t *S) {
-  mtV_each (&S->edge.links, i) {
-    mt_link_t *l = S->edge.links.vals[i];
-    if (l->atonce || l->ntargets > 0 || l->nresults > 0)
-      sendlink(S, l, false, false);
+  mtV_each (&S->edge.outboxes, i) {
+    mt_outbox_t *o = S->edge.outboxes.vals[i];
+    if (o->immediate || o->ntargets > 0 || o->nresults > 0)
+      send_outbox(S, o, false, false);
   }
 }
 
 void mtQ_tick (mt_state_t *S) {
-  mtV_each (&S->edge.links, i) {
-    mt_link_t *l = S->edge.links.vals[i];
-    mt_id_t first = mtM_ranked(S, l->domain, MT_ROLE_POOL(l->pool), 0);
-    bool moved = first != 0 && first != l->told[0] && l->told[0] != 0;
-    if (moved) l->idlefulls = IDLE_FULLS;
-    bool due = l->idlefulls > 0 && S->now - l->lastfull >= MT_DEMAND_MS;
-    bool batch = l->nqueues > 0 && S->now - l->lastbatch >= MT_BATCH_MS;
-    if (moved || due || batch) sendlink(S, l, moved || due, batch);
+  mtV_each (&S->edge.outboxes, i) {
+    mt_outbox_t *o = S->edge.outboxes.vals[i];
+    mt_id_t first = mtM_ranked(S, o->domain, MT_ROLE_POOL(o->pool), 0);
+    bool moved = first != 0 && first != o->reported[0] && o->reported[0] != 0;
+    if (moved) o->final_reports = FINAL_REPORTS;
+    bool due = o->final_reports > 0 && S->now - o->lastfull >= MT_DEMAND_MS;
+    bool batch = o->nqueues > 0 && S->now - o->lastbatch >= MT_BATCH_MS;
+    if (moved || due || batch) send_outbox(S, o, moved || due, batch);
   }
 }
 
@@ -404,22 +415,22 @@
 
 /* {== Retry budgets ==================================================== */
 
-static void refill (const mt_state_t *S, mt_budget_t *b) {
+static void refill (const mt_state_t *S, mt_retrybudget_t *b) {
   mt_ms_t passed = mt_min(S->now - b->at, 10000);
   b->at = S->now;
-  b->left =
-      mt_min(b->left + (int64_t)passed * MT_RETRY_FLOOR * HUNDRED / 1000,
-             BUDGET_MAX);
+  b->left = mt_min(b->left + (int64_t)passed * MT_RETRIES_PER_S_MIN *
+                                 RETRY_COST / 1000,
+                   BUDGET_MAX);
 }
 
-bool mtQ_spend (mt_state_t *S, mt_budget_t *b) {
+bool mtQ_spend (mt_state_t *S, mt_retrybudget_t *b) {
   refill(S, b);
-  if (b->left < HUNDRED) return false;
-  b->left -= HUNDRED;
+  if (b->left < RETRY_COST) return false;
+  b->left -= RETRY_COST;
   return true;
 }
 
-void mtQ_earn (mt_budget_t *b) {
+void mtQ_earn (mt_retrybudget_t *b) {
   b->left = mt_min(b->left + MT_RETRY_BUDGET_PCT, BUDGET_MAX);
 }
 
@@ -428,14 +439,14 @@
 void mtQ_close (mt_state_t *S) {
   mtV_each (&S->edge.queues, i) free(S->edge.queues.vals[i]);
   mtV_free(&S->edge.queues);
-  mtV_each (&S->edge.links, i) {
-    mt_link_t *l = S->edge.links.vals[i];
-    free(l->queues);
-    free(l->targets);
-    free(l->results);
-    free(l);
+  mtV_each (&S->edge.outboxes, i) {
+    mt_outbox_t *o = S->edge.outboxes.vals[i];
+    free(o->queues);
+    free(o->targets);
+    free(o->results);
+    free(o);
   }
-  mtV_free(&S->edge.links);
+  mtV_free(&S->edge.outboxes);
   mtV_free(&S->edge.running);
   mtV_each (&S->edge.costs, i) free(S->edge.costs.vals[i]);
   mtV_free(&S->edge.costs);
--- a/src/mtqueue.h
+++ b/src/mtqueue.h
@@ -1,46 +1,51 @@
 /*
-** mtqueue.h - the edge's queues: waiting requests, charges, what is reported
+** mtqueue.h - a router's request queues: order, charges, demand reports
 */
 #ifndef mtqueue_h
 #define mtqueue_h
 
 #include "mtstate.h"
 
-/* The queue of a workspace for a pool, made when missing. */
+/* The queue of a workspace for a pool, created when missing. */
 mt_queue_t *mtQ_get (mt_state_t *S, mt_id_t ws, mt_id_t pool);
 
-/* Puts a request in its place: larger order first, then the older. */
+/* Queues a request: larger `order` first, then the earlier arrival. */
 void mtQ_add (mt_state_t *S, mt_req_t *r);
 void mtQ_remove (mt_state_t *S, mt_req_t *r);
 
 /*
-** The request to run on a target: one whose session is at home there, else
-** the first. A request is passed over a bounded number of times.
+** Removes and returns the request to run on a target: the one among the first
+** MT_AFFINITY_WINDOW that suits it best by session affinity, else the first;
+** NULL when none may use it. A request is passed over a bounded number of
+** times.
 */
 mt_req_t *mtQ_take (mt_state_t *S, mt_id_t ws, mt_id_t pool, mt_id_t target);
 
-/* A request begins or stops to occupy a target. */
-void mtQ_running (mt_state_t *S, mt_req_t *r, int change);
+/* Adds `change` (1 or -1) to the running requests of its target. */
+void mtQ_adjust_running (mt_state_t *S, mt_req_t *r, int change);
 
-/* Charges a running request up to `cost` (pool units) in all. */
+/* Charges a running request so that its total is `cost`, in the pool's unit
+   of cost; a smaller total than before is ignored. */
 void mtQ_charge (mt_state_t *S, mt_req_t *r, int64_t cost);
 
-/* The attempt is over: settles its charge; a whole one is learnt from. */
+/* Sets the final charge of an attempt; with `whole`, its cost enters the
+   estimates. */
 void mtQ_settle (mt_state_t *S, mt_req_t *r, int64_t cost, bool whole);
 
-/* A grant was used or not; its issuer and this domain's scheduler are told.
- */
-void mtQ_taken (mt_state_t *S, const mt_grant_t *g, uint8_t used);
+/* Adds the result of a grant (MT_GRANT_USED etc.) to the next reports to its
+   issuer and to this domain's scheduler. */
+void mtQ_grant_result (mt_state_t *S, const mt_grant_t *g, uint8_t used);
 
-/* Sends what changed to the schedulers concerned; called after each step. */
+/* Sends the changes that cannot wait for a batch; called after each step. */
 void mtQ_report (mt_state_t *S);
 
-/* Sends full reports that are due. */
+/* Sends the batches and full reports that are due. */
 void mtQ_tick (mt_state_t *S);
 
 /* Takes one retry from a budget; false when it is spent. */
-bool mtQ_spend (mt_state_t *S, mt_budget_t *b);
-void mtQ_earn (mt_budget_t *b);
+bool mtQ_spend (mt_state_t *S, mt_retrybudget_t *b);
+/* Adds the retries that one request allows to a budget. */
+void mtQ_earn (mt_retrybudget_t *b);
 
 void mtQ_close (mt_state_t *S);
 
--- a/src/mtrouter.c
+++ b/src/mtrouter.c
@@ -40,18 +40,18 @@
 
 static void onhead (void *ud, const mt_storeans_t *a) {
   storecall_t *k = ud;
-  mt_event_t ev = {.kind = MT_EV_STORED};
-  ev.u.stored.status = a->status;
-  ev.u.stored.text = a->text;
-  ev.u.stored.written = a->revision;
-  if (a->status == 200) ev.u.stored.revision = headrevision(a->text);
+  mt_event_t ev = {.kind = MT_EV_CONFIG_HEAD};
+  ev.u.config_head.status = a->status;
+  ev.u.config_head.text = a->text;
+  ev.u.config_head.store_revision = a->revision;
+  if (a->status == 200) ev.u.config_head.revision = headrevision(a->text);
   mtX_step(k->X, &ev);
   free(k);
 }
 
 static void onpart (void *ud, const mt_storeans_t *a) {
   storecall_t *k = ud;
-  mt_event_t ev = {.kind = MT_EV_PART};
+  mt_event_t ev = {.kind = MT_EV_CONFIG_PART};
   ev.u.part.status = a->status;
   ev.u.part.digest = (mt_bytes_t){k->digest, strlen(k->digest)};
   ev.u.part.text = a->text;
@@ -77,7 +77,7 @@
 
 static void execute (mt_router_t *X, const mt_effect_t *fx) {
   switch (fx->kind) {
-    case MT_FX_REFUSE:
+    case MT_FX_REJECT:
     case MT_FX_START:
     case MT_FX_RESUME:
     case MT_FX_CANCEL:
@@ -87,14 +87,14 @@
     case MT_FX_CLAIM:
     case MT_FX_RELEASE: mtO_effect(X->front, fx); break;
     case MT_FX_SEND: sendframe(X, fx); break;
-    case MT_FX_GETHEAD:
+    case MT_FX_GET_CONFIG_HEAD:
       mtD_get(X->store, MT_KEY_HEAD, onhead, newcall(X, NULL));
       break;
-    case MT_FX_WATCH:
+    case MT_FX_WATCH_CONFIG_HEAD:
       mtD_watch(X->store, MT_KEY_HEAD, fx->u.revision, onhead,
                 newcall(X, NULL));
       break;
-    case MT_FX_GETPART: getpart(X, fx->u.digest); break;
+    case MT_FX_GET_CONFIG_PART: getpart(X, fx->u.digest); break;
     case MT_FX_LOG:
       mtL_log(fx->u.log.level, fx->u.log.part, "%s", fx->u.log.text);
       break;
@@ -184,7 +184,7 @@
   X->S = mtR_new(&X->set, uv_now(&X->loop), X->boot, X->boot);
   mtN_counts(X->peers, &X->S->counts);
   mtN_self(X->peers, &X->S->members.self->node);
-  X->targets = mtY_open(&X->loop, MT_IO_MS);
+  X->targets = mtY_open(&X->loop, MT_TARGET_IDLE_MS);
   X->store = mtD_open(&X->loop, &X->set.store, &X->S->counts);
   X->callers = mtB_open(&X->loop, X->set.callers.ip, X->set.callers.port,
                         mtO_handle, X->front, reason, sizeof reason);
--- a/src/mtstore.c
+++ b/src/mtstore.c
@@ -9,7 +9,7 @@
 #include "mtmem.h"
 #include "mtstore.h"
 
-#define SILENCE_MS (MT_WATCH_MS + 2000)
+#define SILENCE_MS (MT_LONG_POLL_MS + 2000)
 #define KEY_BYTES 160
 #define OWNER_BYTES 96
 #define CLAIM_TRIES 5
@@ -111,7 +111,7 @@
                 mt_storefn_t fn, void *ud) {
   char path[KEY_BYTES];
   snprintf(path, sizeof path, "/watch/%s?after=%" PRId64 "&wait=%d", key,
-           after, MT_WATCH_MS);
+           after, MT_LONG_POLL_MS);
   ask(D, D->slow, "GET", path, nothing, fn, ud);
 }
 
@@ -142,7 +142,7 @@
 }
 
 static void again (claim_t *c) {
-  bool late = uv_now(c->D->loop) - c->begun >= MT_CLAIM_MS;
+  bool late = uv_now(c->D->loop) - c->begun >= MT_CLAIM_TIMEOUT_MS;
   if (++c->tries >= CLAIM_TRIES || late)
     endclaim(c, MT_CR_AWAY);
   else
@@ -231,7 +231,7 @@
   D->loop = loop;
   D->addr = *addr;
   D->counts = counts;
-  D->http = mtY_open(loop, MT_CONNECT_MS);
+  D->http = mtY_open(loop, MT_CONNECT_TIMEOUT_MS);
   D->slow = mtY_open(loop, SILENCE_MS);
   return D;
 }
--- a/src/relay/catalog.h
+++ b/src/relay/catalog.h
@@ -28,7 +28,7 @@
   mt_route_kind_t kind;
   bool resumable;    /* streams: another engine may continue one */
   bool open;         /* needs no API key */
-  mt_ms_t timeout;   /* of a request, end to end; 0: MT_WAIT_MS */
+  mt_ms_t timeout;   /* of a request, end to end; 0: MT_WAIT_MAX_MS */
   mt_ms_t objective; /* latency target: of a stream, for its first event */
   mt_ms_t pause;     /* streams: target for the time between events */
   int priority;      /* 0 is the most urgent */
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -60,7 +60,8 @@
   r->service = choose_service(relay, route, ask->id);
   r->objective = route->objective;
   r->pause = route->pause;
-  r->expires = r->arrived + (route->timeout ? route->timeout : MT_WAIT_MS);
+  r->expires =
+      r->arrived + (route->timeout ? route->timeout : MT_WAIT_MAX_MS);
   if (ask->deadline_ms >= 0)
     r->expires = mt_min(r->expires, r->arrived + (mt_ms_t)ask->deadline_ms);
 }
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-const Fleet &small () {
+const Fleet &small_fleet () {
   static Fleet *f = [] {
     Fleet *x = new Fleet;
     x->target("e1", "d0", 2);
@@ -20,7 +20,7 @@
   return *f;
 }
 
-TEST(Admission, RefusesAtTheDoorWithTheReason) {
+TEST(Admission, RejectsWithTheReason) {
   struct Row {
     const char *ws, *model;
     bool configured, draining;
@@ -33,17 +33,17 @@
   };
   for (const Row &row : rows) {
     Router r;
-    if (row.configured) r.configure(small(), 1);
+    if (row.configured) r.configure(small_fleet(), 1);
     mt_event_t drain{};
     drain.kind = MT_EV_DRAIN;
     if (row.draining) r.step(drain);
-    mt_ask_t a{};
+    mt_reqparams_t a{};
     a.model = mt_bytes_t{row.model, strlen(row.model)};
-    r.ask(1, row.ws, a);
-    const mt_effect_t *fx = r.find(MT_FX_REFUSE, 1);
+    r.request(1, row.ws, a);
+    const mt_effect_t *fx = r.find(MT_FX_REJECT, 1);
     ASSERT_NE(fx, nullptr);
-    EXPECT_EQ(fx->u.refuse.why, row.why);
-    EXPECT_TRUE(fx->u.refuse.notrun);
+    EXPECT_EQ(fx->u.reject.why, row.why);
+    EXPECT_TRUE(fx->u.reject.notrun);
     EXPECT_EQ(r.S->counts.rejections[row.why], 1u);
   }
 }
@@ -58,21 +58,23 @@
   Router r;
   r.configure(f, 1);
   r.tick();
-  for (uint64_t i = 1; i <= 4; i++) r.ask(i, "w1"); // one runs, three wait
-  EXPECT_EQ(r.find(MT_FX_REFUSE, 4), nullptr);
-  r.ask(5, "w1");
-  ASSERT_NE(r.find(MT_FX_REFUSE, 5), nullptr);
-  EXPECT_EQ(r.find(MT_FX_REFUSE, 5)->u.refuse.why, MT_WS_QUEUE_FULL);
+  for (uint64_t i = 1; i <= 4; i++)
+    r.request(i, "w1"); // one runs, three wait
+  EXPECT_EQ(r.find(MT_FX_REJECT, 4), nullptr);
+  r.request(5, "w1");
+  ASSERT_NE(r.find(MT_FX_REJECT, 5), nullptr);
+  EXPECT_EQ(r.find(MT_FX_REJECT, 5)->u.reject.why, MT_WS_QUEUE_FULL);
 }
 
-// What follows a failed attempt, and what the caller is told at the end.
-TEST(Outcome, RetriesOnlyWhatIsSafeAndTellsTheTruth) {
+// After failed attempts: the number of attempts, the error, and whether it
+// says "not-run".
+TEST(Outcome, RetriesOnlyWhenSafeAndReportsNotRunCorrectly) {
   struct Row {
     const char *name;
     bool never, notrun[3];
     int attempts;
     mt_rejection_t why;
-    bool toldnotrun;
+    bool reported_notrun;
   } rows[] = {
       {"never ran, repeatable",
        false,
@@ -104,9 +106,9 @@
     Router r;
     r.configure(f, 1);
     r.tick();
-    mt_ask_t a{};
+    mt_reqparams_t a{};
     if (row.never) a.repeat = MT_REPEAT_NEVER;
-    r.ask(1, "w1", a);
+    r.request(1, "w1", a);
     int attempts = 0;
     const mt_effect_t *refused = nullptr;
     for (int i = 0; i < 100 && refused == nullptr; i++) {
@@ -117,20 +119,20 @@
       } else {
         r.tick();
       }
-      refused = r.find(MT_FX_REFUSE, 1);
+      refused = r.find(MT_FX_REJECT, 1);
     }
     ASSERT_NE(refused, nullptr);
     EXPECT_EQ(attempts, row.attempts);
-    EXPECT_EQ(refused->u.refuse.why, row.why);
-    EXPECT_EQ(refused->u.refuse.notrun, row.toldnotrun);
+    EXPECT_EQ(refused->u.reject.why, row.why);
+    EXPECT_EQ(refused->u.reject.notrun, row.reported_notrun);
   }
 }
 
-TEST(Outcome, LateEventsOfAPastAttemptAreDroppedAndCounted) {
+TEST(Outcome, EventsOfAPastAttemptAreDroppedAndCounted) {
   Router r;
-  r.configure(small(), 1);
+  r.configure(small_fleet(), 1);
   r.tick();
-  r.ask(1, "w1");
+  r.request(1, "w1");
   uint32_t first = r.find(MT_FX_START, 1)->attempt;
   r.failed(1, first, true);
   for (int i = 0; i < 40 && r.find(MT_FX_START, 1) == nullptr; i++) r.tick();
@@ -143,27 +145,27 @@
   EXPECT_EQ(r.find(MT_FX_FORWARD, 1), nullptr);
 }
 
-// Claims: what each answer of the store leads to.
-TEST(Claim, NotRepeatableRunsOnlyOnItsOwnClaim) {
+// What the request does for each result of its claim.
+TEST(Claim, NotRepeatableStartsOnlyAfterItsClaimIsAcquired) {
   struct Row {
     mt_claim_t answer;
     bool starts, release;
     mt_rejection_t why;
     bool notrun;
   } rows[] = {
-      {MT_CLAIM_OURS, true, false, MT_OK, false},
-      {MT_CLAIM_OTHERS, false, false, MT_CLAIMED, false},
-      {MT_CLAIM_AWAY, false, true, MT_STORE_UNREACHABLE, true},
+      {MT_CLAIM_ACQUIRED, true, false, MT_OK, false},
+      {MT_CLAIM_HELD, false, false, MT_CLAIMED, false},
+      {MT_CLAIM_UNAVAILABLE, false, true, MT_STORE_UNREACHABLE, true},
   };
   for (const Row &row : rows) {
     Router r;
-    r.configure(small(), 1);
+    r.configure(small_fleet(), 1);
     r.tick();
-    mt_ask_t a{};
+    mt_reqparams_t a{};
     a.service = true;
     a.repeat = MT_REPEAT_NEVER;
     a.idem = 99;
-    r.ask(1, "w1", a);
+    r.request(1, "w1", a);
     EXPECT_EQ(r.find(MT_FX_START, 1), nullptr);
     ASSERT_NE(r.find(MT_FX_CLAIM, 1), nullptr);
     mt_event_t ev = r.attempt(MT_EV_CLAIMED, 1, 0);
@@ -172,61 +174,62 @@
     r.step(ev);
     EXPECT_EQ(r.find(MT_FX_START, 1) != nullptr, row.starts);
     EXPECT_EQ(r.find(MT_FX_RELEASE, 1) != nullptr, row.release);
-    const mt_effect_t *refused = r.find(MT_FX_REFUSE, 1);
+    const mt_effect_t *refused = r.find(MT_FX_REJECT, 1);
     ASSERT_EQ(refused != nullptr, !row.starts);
     if (refused == nullptr) continue;
-    EXPECT_EQ(refused->u.refuse.why, row.why);
-    EXPECT_EQ(refused->u.refuse.notrun, row.notrun);
+    EXPECT_EQ(refused->u.reject.why, row.why);
+    EXPECT_EQ(refused->u.reject.notrun, row.notrun);
   }
 }
 
-TEST(Claim, SameKeyJoinsWhenRepeatableAndIsRefusedWhenNot) {
+TEST(Claim, SameKeyJoinsWhenRepeatableAndIsRejectedWhenNot) {
   for (bool never : {false, true}) {
     Router r;
-    r.configure(small(), 1);
+    r.configure(small_fleet(), 1);
     r.tick();
-    mt_ask_t a{};
+    mt_reqparams_t a{};
     a.idem = 5;
     if (never) a.repeat = MT_REPEAT_NEVER;
-    r.ask(1, "w1", a);
-    r.ask(2, "w1", a);
+    r.request(1, "w1", a);
+    r.request(2, "w1", a);
     EXPECT_EQ(r.find(MT_FX_JOIN, 2) != nullptr, !never);
-    EXPECT_EQ(r.find(MT_FX_REFUSE, 2) != nullptr, never);
+    EXPECT_EQ(r.find(MT_FX_REJECT, 2) != nullptr, never);
   }
 }
 
-TEST(Config, NeverGoesBackAndRefusesWhatIsFaulty) {
+TEST(Config, NeverGoesBackAndRejectsInvalidRevisions) {
   Router r;
   Fleet bad;
   bad.target("x", "d0", 0); // no slots
-  r.configure(small(), 5);
+  r.configure(small_fleet(), 5);
   EXPECT_EQ(r.S->conf.revision, 5);
-  r.configure(small(), 4);
+  r.configure(small_fleet(), 4);
   EXPECT_EQ(r.S->conf.revision, 5);
   r.configure(bad, 6);
   EXPECT_EQ(r.S->conf.revision, 5);
   EXPECT_EQ(r.S->counts.totals[MT_C_CONFIG_BAD], 1u);
-  r.configure(small(), 7);
+  r.configure(small_fleet(), 7);
   EXPECT_EQ(r.S->conf.revision, 7);
 }
 
-// A watch that named the configuration's revision came back at once, always.
-TEST(Config, TheWatchNamesTheStoresOwnRevision) {
+// Guards against a watch that returns at once, again and again: it must name
+// the revision of the head's key in the store, not the configuration's.
+TEST(Config, WatchUsesTheStoreRevision) {
   Router r;
   mt_event_t ev{};
-  ev.kind = MT_EV_STORED;
-  ev.u.stored.status = 200;
-  ev.u.stored.revision = 3;
-  ev.u.stored.written = 40;
+  ev.kind = MT_EV_CONFIG_HEAD;
+  ev.u.config_head.status = 200;
+  ev.u.config_head.revision = 3;
+  ev.u.config_head.store_revision = 40;
   std::string head = "{\"revision\":3,\"sections\":{}}";
-  ev.u.stored.text = bytesof(head);
+  ev.u.config_head.text = bytesof(head);
   r.step(ev);
   r.tick();
-  ASSERT_NE(r.find(MT_FX_WATCH, 0), nullptr);
-  EXPECT_EQ(r.find(MT_FX_WATCH, 0)->u.revision, 40);
+  ASSERT_NE(r.find(MT_FX_WATCH_CONFIG_HEAD, 0), nullptr);
+  EXPECT_EQ(r.find(MT_FX_WATCH_CONFIG_HEAD, 0)->u.revision, 40);
 }
 
-TEST(Leaving, ATargetThatLeavesGetsNothingNew) {
+TEST(Leaving, LeavingTargetGetsNoNewRequests) {
   Fleet f;
   f.target("e1", "d0", 1);
   f.target("e2", "d0", 8);
@@ -238,15 +241,16 @@
   r.configure(f, 2);
   std::set<mt_id_t> used;
   for (uint64_t i = 1; i <= 20; i++) {
-    r.ask(i, "w1");
+    r.request(i, "w1");
     for (const mt_effect_t &e : r.out)
       if (e.kind == MT_FX_START) used.insert(e.u.start.target);
   }
   EXPECT_EQ(used, std::set<mt_id_t>{mtV_id("e1", 2)});
 }
 
-// A slot offered by another domain whose target turns out to be leaving.
-TEST(Leaving, AnOfferOfALeavingTargetIsDeclined) {
+// A remote domain offers a slot of a target that this router's configuration
+// has as leaving: the offer is declined and the request stays queued.
+TEST(Leaving, OfferOfALeavingTargetIsDeclined) {
   Fleet f;
   f.target("e1", "d0", 1);
   f.target("e9", "d9", 1, "p", true);
@@ -254,8 +258,8 @@
   Router r;
   r.configure(f, 1);
   r.tick();
-  r.ask(1, "w1");
-  r.ask(2, "w1"); // waits
+  r.request(1, "w1");
+  r.request(2, "w1"); // waits
   mt_msg_t m{};
   m.kind = MT_M_OFFER;
   m.u.grant.domain = mtV_id("d9", 2);
@@ -272,7 +276,8 @@
   r.step(ev);
   EXPECT_EQ(r.find(MT_FX_START, 2), nullptr);
   r.ended(1, 1, 4);
-  EXPECT_NE(r.find(MT_FX_START, 2), nullptr) << "still served at home";
+  EXPECT_NE(r.find(MT_FX_START, 2), nullptr)
+      << "a local slot must still serve it";
 }
 
 TEST(Policy, ChoosesTargetsAndAFailureFallsBack) {
@@ -297,7 +302,7 @@
     r.tick();
     std::set<mt_id_t> used;
     for (uint64_t i = 1; i <= 6; i++) {
-      r.ask(i, "w1");
+      r.request(i, "w1");
       for (const mt_effect_t &e : r.out)
         if (e.kind == MT_FX_START) used.insert(e.u.start.target);
     }
@@ -306,11 +311,11 @@
   }
 }
 
-// With and without a router of another domain, which cannot be heard: what
-// waits here must not depend on it.
-static void drainall (bool other) {
+// With `other`, a router of another domain has joined and then sends nothing.
+// Draining must finish the queued requests in both cases.
+static void drain_with_requests (bool other) {
   Router r;
-  r.configure(small(), 1);
+  r.configure(small_fleet(), 1);
   r.tick();
   mt_msg_t m{};
   m.kind = MT_M_HELLO;
@@ -322,7 +327,7 @@
   hello.u.peer.from = mtV_id("r9", 2);
   hello.u.peer.msg = &m;
   if (other) r.step(hello);
-  for (uint64_t i = 1; i <= 6; i++) r.ask(i, "w1"); // four run, two wait
+  for (uint64_t i = 1; i <= 6; i++) r.request(i, "w1"); // four run, two wait
   mt_event_t drain{};
   drain.kind = MT_EV_DRAIN;
   r.step(drain);
@@ -331,7 +336,7 @@
   int answered = 0;
   for (int i = 0; i < 200 && !r.S->stopped; i++) {
     r.tick();
-    for (const mt_effect_t &e : r.out) EXPECT_NE(e.kind, MT_FX_REFUSE);
+    for (const mt_effect_t &e : r.out) EXPECT_NE(e.kind, MT_FX_REJECT);
     if (running.empty()) continue;
     auto it = running.begin();
     uint64_t id = it->first;
@@ -348,13 +353,13 @@
   EXPECT_TRUE(r.S->stopped);
 }
 
-TEST(Drain, FinishesWhatIsInHandAndStops) {
-  drainall(false);
-  drainall(true);
+TEST(Drain, FinishesRequestsInProgressAndStops) {
+  drain_with_requests(false);
+  drain_with_requests(true);
 }
 
-// A random run: what callers and targets would see, checked at every step.
-struct World {
+// A random run; check() verifies what callers and targets see.
+struct Simulation {
   Router r;
   uint64_t seed, next = 1;
   std::map<uint64_t, std::pair<mt_id_t, uint32_t>> running;
@@ -364,21 +369,21 @@
   std::map<uint64_t, int64_t> cost;
   std::set<uint64_t> waiting;
 
-  explicit World(uint64_t s) : seed(s) {
-    r.configure(small(), 1);
+  explicit Simulation(uint64_t s) : seed(s) {
+    r.configure(small_fleet(), 1);
     r.tick();
   }
   uint64_t rnd (uint64_t n) {
     return mtV_random(&seed) % n;
   }
-  void absorb () {
+  void apply_effects () {
     for (const mt_effect_t &e : r.out) {
       if (e.kind == MT_FX_START) {
         running[e.req] = {e.u.start.target, e.attempt};
         starts[e.req]++;
         waiting.erase(e.req);
       }
-      if (e.kind == MT_FX_REFUSE) {
+      if (e.kind == MT_FX_REJECT) {
         answers[e.req]++;
         waiting.erase(e.req);
       }
@@ -389,8 +394,8 @@
     owner[id] = ws;
     cost[id] = rnd(10) == 0 ? 500 : 5 + (int64_t)rnd(20);
     waiting.insert(id);
-    r.ask(id, ws);
-    absorb();
+    r.request(id, ws);
+    apply_effects();
   }
   void finish () {
     if (running.empty()) return;
@@ -401,7 +406,7 @@
     if (rnd(20) == 0) {
       r.failed(id, run.second, rnd(2) == 0);
       waiting.insert(id);
-      absorb();
+      apply_effects();
       return;
     }
     r.step(r.attempt(MT_EV_HEAD, id, run.second));
@@ -411,26 +416,26 @@
     r.step(end);
     answers[id]++;
     served[owner[id]] += cost[id];
-    absorb();
+    apply_effects();
   }
   void check () {
     std::map<mt_id_t, int> load;
     for (auto &[id, run] : running) load[run.first]++;
-    for (auto &[t, n] : load) ASSERT_LE(n, 2) << "more than the slots";
+    for (auto &[t, n] : load) ASSERT_LE(n, 2) << "more requests than slots";
     for (auto &[id, n] : answers) ASSERT_LE(n, 1) << "answered twice";
     size_t queued = r.S->edge.waiting;
     if (queued > 0) {
-      size_t held = r.S->edge.held.used;
-      if (held == 0) {
-        ASSERT_EQ(running.size(), 4u) << "a slot idles";
+      size_t in_backoff = r.S->edge.in_backoff.used;
+      if (in_backoff == 0) {
+        ASSERT_EQ(running.size(), 4u) << "a slot is idle while requests wait";
       }
     }
   }
 };
 
-TEST(Property, SlotsAreKeptAndUsedAndAnswersComeOnce) {
+TEST(Property, SlotLimitsHoldAndEachRequestIsAnsweredOnce) {
   for (uint64_t seed = 1; seed <= 20; seed++) {
-    World w(seed);
+    Simulation w(seed);
     for (int i = 0; i < 1500; i++) {
       switch (w.rnd(4)) {
         case 0:
@@ -438,25 +443,25 @@
         case 2: w.finish(); break;
         default: w.r.tick(1 + w.rnd(20)); break;
       }
-      w.absorb();
+      w.apply_effects();
       w.check();
       if (HasFatalFailure()) FAIL() << "seed " << seed;
     }
     for (int i = 0; i < 20000 && w.r.S->edge.reqs.used > 0; i++) {
       w.finish();
       w.r.tick(20);
-      w.absorb();
+      w.apply_effects();
     }
     for (uint64_t id = 1; id < w.next; id++)
       ASSERT_EQ(w.answers[id], 1) << "seed " << seed << " request " << id;
   }
 }
 
-// Two workspaces that stay backlogged: their service never drifts apart by
-// more than what is in flight and one more of the largest requests.
+// The service of two workspaces that always have queued requests differs by
+// at most 4 requests in flight and one more of each, all of the largest cost.
 TEST(Property, BackloggedWorkspacesStayWithinTheBound) {
   for (uint64_t seed = 1; seed <= 10; seed++) {
-    World w(seed * 977);
+    Simulation w(seed * 977);
     const int64_t bound = (4 + 2) * 500;
     for (int i = 0; i < 4000; i++) {
       for (const char *ws : {"w1", "w2"}) {
@@ -466,7 +471,7 @@
       }
       w.finish();
       w.r.tick(5);
-      w.absorb();
+      w.apply_effects();
       int64_t gap = std::abs(w.served["w1"] - w.served["w2"]);
       ASSERT_LE(gap, bound) << "seed " << seed << " step " << i;
     }
@@ -474,13 +479,14 @@
   }
 }
 
-TEST(Property, OneThatWasIdleBringsNoCredit) {
-  World w(5);
+// w2 is idle while w1 is served; afterwards both get the same service.
+TEST(Property, IdleWorkspaceAccumulatesNoCredit) {
+  Simulation w(5);
   for (int i = 0; i < 3000; i++) {
     if (w.r.S->edge.waiting < 5) w.arrive("w1");
     w.finish();
     w.r.tick(5);
-    w.absorb();
+    w.apply_effects();
   }
   int64_t before1 = w.served["w1"];
   for (int i = 0; i < 600; i++) {
@@ -489,7 +495,7 @@
     w.finish();
     w.finish();
     w.r.tick(5);
-    w.absorb();
+    w.apply_effects();
   }
   int64_t got1 = w.served["w1"] - before1, got2 = w.served["w2"];
   EXPECT_LE(std::abs(got1 - got2), (4 + 2) * 500);
@@ -499,12 +505,12 @@
 TEST(Replay, TheSameEventsGiveTheSameEffects) {
   std::string traces[2];
   for (std::string &t : traces) {
-    World w(31337);
+    Simulation w(31337);
     for (int i = 0; i < 800; i++) {
       if (w.rnd(2)) w.arrive("w" + std::to_string(1 + w.rnd(4)));
       w.finish();
       w.r.tick(7);
-      w.absorb();
+      w.apply_effects();
     }
     t = w.r.trace;
   }
@@ -512,13 +518,13 @@
   EXPECT_EQ(traces[0], traces[1]);
 }
 
-TEST(Pause, AfterAPauseNothingIsGrantedUntilPeersHadTimeToSpeak) {
+TEST(Pause, NoGrantsAfterAPauseUntilPeersCanReport) {
   Router r;
-  r.configure(small(), 1);
+  r.configure(small_fleet(), 1);
   r.tick();
   r.tick(MT_PAUSE_MS + 500);
   EXPECT_EQ(r.S->counts.totals[MT_C_PAUSES], 1u);
-  r.ask(1, "w1");
+  r.request(1, "w1");
   EXPECT_EQ(r.find(MT_FX_START, 1), nullptr);
   for (int i = 0; i < 40 && r.find(MT_FX_START, 1) == nullptr; i++) r.tick();
   EXPECT_NE(r.find(MT_FX_START, 1), nullptr);
--- a/tests/fuzz/fuzz.c
+++ b/tests/fuzz/fuzz.c
@@ -73,14 +73,14 @@
   }
   json_t *head = json_pack("{s:i,s:o}", "revision", 1, "sections", sections);
   char *text = json_dumps(head, 0);
-  mt_event_t ev = {.kind = MT_EV_STORED};
-  ev.u.stored.status = 200;
-  ev.u.stored.revision = 1;
-  ev.u.stored.text = (mt_bytes_t){text, strlen(text)};
+  mt_event_t ev = {.kind = MT_EV_CONFIG_HEAD};
+  ev.u.config_head.status = 200;
+  ev.u.config_head.revision = 1;
+  ev.u.config_head.text = (mt_bytes_t){text, strlen(text)};
   mtR_step(S, &ev, fx);
   json_object_foreach (parts, name, t) {
     mtH_sha256(json_string_value(t), json_string_length(t), digest);
-    mt_event_t part = {.kind = MT_EV_PART};
+    mt_event_t part = {.kind = MT_EV_CONFIG_PART};
     part.u.part.status = 200;
     part.u.part.digest = (mt_bytes_t){digest, MT_DIGEST_HEX};
     part.u.part.text =
@@ -104,11 +104,11 @@
   ev.attempt = p[2] % 4;
   switch (ev.kind) {
     case MT_EV_REQUEST:
-      ev.u.ask.keydigest = key;
-      ev.u.ask.model = (mt_bytes_t){"m", 1};
-      ev.u.ask.repeat = p[3] & 1 ? MT_REPEAT_NEVER : MT_REPEAT_DEFAULT;
-      ev.u.ask.idem = p[3] & 2 ? p[3] : 0;
-      ev.u.ask.session = p[3] & 4 ? p[3] : 0;
+      ev.u.request.keydigest = key;
+      ev.u.request.model = (mt_bytes_t){"m", 1};
+      ev.u.request.repeat = p[3] & 1 ? MT_REPEAT_NEVER : MT_REPEAT_DEFAULT;
+      ev.u.request.idem = p[3] & 2 ? p[3] : 0;
+      ev.u.request.session = p[3] & 4 ? p[3] : 0;
       ev.req = now; /* request ids are unique */
       break;
     case MT_EV_RESUME:
@@ -125,8 +125,8 @@
     case MT_EV_END: ev.u.end.prompt = ev.u.end.output = p[3]; break;
     case MT_EV_CLAIMED: ev.u.claimed.result = (mt_claim_t)(p[3] % 3); break;
     case MT_EV_PEER:
-    case MT_EV_STORED:
-    case MT_EV_PART: return;
+    case MT_EV_CONFIG_HEAD:
+    case MT_EV_CONFIG_PART: return;
     default: break;
   }
   mtR_step(S, &ev, fx);
--- a/tests/reducer.h
+++ b/tests/reducer.h
@@ -1,4 +1,4 @@
-// reducer.h - one router's reducer with its clock, fed by hand.
+// reducer.h - drives one router's reducer with events and a manual clock.
 #ifndef reducer_h
 #define reducer_h
 
@@ -56,12 +56,13 @@
   }
 };
 
+// A router without peers, in domain "d0" by default.
 struct Router {
   mt_state_t *S;
   mt_ms_t now = 1000000;
   mt_effects_t fx{};
-  std::string trace;            // every effect so far, as bytes
-  std::vector<mt_effect_t> out; // of the last step, without frames
+  std::string trace;            // all effects so far, as bytes
+  std::vector<mt_effect_t> out; // of the last step, without MT_FX_SEND
 
   explicit Router(const char *domain = "d0", const char *node = "r1") {
     mt_settings_t set{};
@@ -91,8 +92,8 @@
         trace.append(e.u.send.bytes, e.u.send.n);
       else if (e.kind == MT_FX_START)
         trace += std::to_string(e.u.start.target);
-      else if (e.kind == MT_FX_REFUSE)
-        trace += std::to_string(e.u.refuse.why);
+      else if (e.kind == MT_FX_REJECT)
+        trace += std::to_string(e.u.reject.why);
       trace += ";";
       if (e.kind != MT_FX_SEND) out.push_back(e);
     }
@@ -104,6 +105,7 @@
     ev.kind = MT_EV_TICK;
     step(ev);
   }
+  // Delivers a configuration as the store would: its head, then its parts.
   void configure (const Fleet &f, int64_t revision) {
     json_t *parts = mtK_split(f.doc), *sections = json_object(), *t;
     const char *name;
@@ -115,15 +117,15 @@
                              "sections", sections);
     char *text = json_dumps(head, 0);
     mt_event_t ev{};
-    ev.kind = MT_EV_STORED;
-    ev.u.stored.status = 200;
-    ev.u.stored.revision = revision;
-    ev.u.stored.text = mt_bytes_t{text, strlen(text)};
+    ev.kind = MT_EV_CONFIG_HEAD;
+    ev.u.config_head.status = 200;
+    ev.u.config_head.revision = revision;
+    ev.u.config_head.text = mt_bytes_t{text, strlen(text)};
     step(ev);
     json_object_foreach (parts, name, t) {
       std::string s = json_string_value(t), d = sha(s);
       mt_event_t part{};
-      part.kind = MT_EV_PART;
+      part.kind = MT_EV_CONFIG_PART;
       part.u.part.status = 200;
       part.u.part.digest = bytesof(d);
       part.u.part.text = bytesof(s);
@@ -133,17 +135,18 @@
     json_decref(head);
     json_decref(parts);
   }
-  // Asks for a completion of model "m", or for service "s".
-  void ask (uint64_t id, const std::string &ws, mt_ask_t a = {}) {
+  // A request for a completion by model "m", or to service "s".
+  void request (uint64_t id, const std::string &ws, mt_reqparams_t a = {}) {
     std::string digest = sha("key-" + ws), model = a.service ? "s" : "m";
     mt_event_t ev{};
     ev.kind = MT_EV_REQUEST;
     ev.req = id;
     a.keydigest = digest.c_str();
     if (a.model.n == 0) a.model = bytesof(model);
-    ev.u.ask = a;
+    ev.u.request = a;
     step(ev);
   }
+  // An event of attempt `n` at a request.
   mt_event_t attempt (mt_evkind_t kind, uint64_t id, uint32_t n) {
     mt_event_t ev{};
     ev.kind = kind;
@@ -151,12 +154,14 @@
     ev.attempt = n;
     return ev;
   }
+  // Attempt `n` fails.
   void failed (uint64_t id, uint32_t n, bool notrun, bool busy = false) {
     mt_event_t ev = attempt(MT_EV_FAILED, id, n);
     ev.u.failed.notrun = notrun;
     ev.u.failed.busy = busy;
     step(ev);
   }
+  // Attempt `n` ends with a complete response of this many output tokens.
   void ended (uint64_t id, uint32_t n, int64_t tokens) {
     step(attempt(MT_EV_HEAD, id, n));
     mt_event_t ev = attempt(MT_EV_END, id, n);
@@ -164,6 +169,7 @@
     ev.u.end.output = tokens;
     step(ev);
   }
+  // The last step's effect of a kind for a request, or nullptr.
   const mt_effect_t *find (mt_fxkind_t kind, uint64_t id) const {
     for (const mt_effect_t &e : out)
       if (e.kind == kind && e.req == id) return &e;
