--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -38,7 +38,8 @@
 typedef struct mt_dialect_t {
   /* Reads a caller's header fields into `ask`; host, path and digest are
      already set. */
-  void (*read_request)(const mt_http_headers_t *headers, mt_relay_ask_t *ask);
+  void (*read_request)(const mt_http_headers_t *headers,
+                       mt_relay_incoming_t *ask);
   /* Appends the header lines for an engine, except Content-Length. */
   void (*write_request)(const mt_http_headers_t *headers,
                         const mt_dialect_fields_t *fields, mt_strbuf_t *out);
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -164,7 +164,7 @@
   mt_http_endpoint_t endpoint = {engine->key, engine->ip, engine->port};
   a->call = mt_http_client_call(
       g->engines, &endpoint, (mt_bytes_t){g->scratch.p, g->scratch.n},
-      mt_http_exchange_body(p->exchange), fx->u.start.rested_ms, a);
+      mt_http_exchange_body(p->exchange), fx->u.start.max_idle_ms, a);
   if (mt_http_call_is_sent(a->call)) notify_sent(a);
   if (r != NULL) mt_gateway_peers_request_sent(g->peers, r);
 }
@@ -193,19 +193,19 @@
     do_probe(g, fx);
     return;
   }
-  if (fx->kind == MT_RELAY_DO_GIVE_BACK) {
-    mt_gateway_peers_return_permit(g->peers, fx->u.place);
+  if (fx->kind == MT_RELAY_DO_RETURN_PERMIT) {
+    mt_gateway_peers_return_permit(g->peers, fx->u.permit);
     return;
   }
-  if (fx->kind == MT_RELAY_DO_TELL) {
-    mt_gateway_peers_send_suspect_message(g->peers, &fx->u.word);
+  if (fx->kind == MT_RELAY_DO_SEND_TO_OWNER) {
+    mt_gateway_peers_send_suspect_message(g->peers, &fx->u.message);
     return;
   }
   inflight_t *p = mtV_get(&g->inflight_by_number, fx->request);
   if (p == NULL) return;
   switch (fx->kind) {
     case MT_RELAY_DO_REFUSE: do_refuse(g, p, fx); break;
-    case MT_RELAY_DO_ASK: do_ask(g, fx); break;
+    case MT_RELAY_DO_GET_QUOTES: do_ask(g, fx); break;
     case MT_RELAY_DO_START: do_start(g, p, fx); break;
     case MT_RELAY_DO_CANCEL: abandon_attempt(p); break;
     case MT_RELAY_DO_HEAD:
@@ -223,15 +223,17 @@
       release(g, p);
       break;
     case MT_RELAY_DO_PROBE:
-    case MT_RELAY_DO_GIVE_BACK:
-    case MT_RELAY_DO_TELL: break; /* not for a request: handled above */
+    case MT_RELAY_DO_RETURN_PERMIT:
+    case MT_RELAY_DO_SEND_TO_OWNER:
+      break; /* not for a request: handled above */
   }
 }
 
 /*
 ** Effects are carried out in order, and some of them cause another event at
-** once, which is handled in a nested call. Only four events nest: GONE_OUT
-** has no effects, and those of QUOTED, TRIED and CALLER_LEFT concern only
+** once, which is handled in a nested call. Only four events nest: WRITTEN
+** has no effects, and those of QUOTED, TRIED and CALLER_DISCONNECTED concern
+*only
 ** the request whose effect is being carried out.
 */
 void mt_gateway_step (mt_gateway_t *g, mt_relay_event_t *event) {
@@ -252,10 +254,11 @@
   mt_gateway_step(ud, &event);
 }
 
-static void on_trial (void *ud, const mt_suspect_message_t *word,
+static void on_trial (void *ud, const mt_suspect_message_t *message,
                       mt_trial_verdict_t verdict) {
-  mt_relay_event_t event = {.kind = MT_RELAY_TRIED, .request = word->request};
-  event.u.tried.word = word;
+  mt_relay_event_t event = {.kind = MT_RELAY_TRIAL_ANSWERED,
+                            .request = message->request};
+  event.u.tried.message = message;
   event.u.tried.verdict = verdict;
   mt_gateway_step(ud, &event);
 }
@@ -290,7 +293,7 @@
   mt_gateway_t *g = ud;
   tick_soon(g);
   const mt_http_headers_t *headers = mt_http_exchange_headers(x);
-  mt_relay_ask_t ask = {.deadline_ms = -1, .last_event = -1};
+  mt_relay_incoming_t ask = {.deadline_ms = -1, .last_event = -1};
   inflight_t *p = mtV_new(sizeof *p);
   p->gateway = g;
   p->number = ++g->next_number;
@@ -313,7 +316,7 @@
   mt_gateway_t *g = ud;
   inflight_t *p = mt_http_exchange_user(x);
   if (p == NULL) return;
-  mt_relay_event_t event = {.kind = MT_RELAY_CALLER_LEFT,
+  mt_relay_event_t event = {.kind = MT_RELAY_CALLER_DISCONNECTED,
                             .request = p->number};
   mt_gateway_step(g, &event);
   abandon_attempt(p);
@@ -349,7 +352,7 @@
 
 static void notify_sent (attempt_t *a) {
   if (a->inflight == NULL) return;
-  mt_relay_event_t event = {.kind = MT_RELAY_GONE_OUT,
+  mt_relay_event_t event = {.kind = MT_RELAY_WRITTEN,
                             .request = a->inflight->number,
                             .attempt = a->number};
   mt_gateway_step(a->gateway, &event);
@@ -473,9 +476,10 @@
   uint64_t digest = mt_suspects_page_digest(mt_http_exchange_target(x));
   bool clears = mt_bytes_equal_nocase(mt_http_exchange_method(x), "DELETE");
   bool known = mt_suspects_get(&g->relay->suspects, digest) != NULL;
-  const mt_suspect_message_t word = {.kind = MT_SUSPECT_MESSAGE_ANSWERED,
-                                     .digest = digest};
-  if (clears && known) mt_gateway_peers_send_suspect_message(g->peers, &word);
+  const mt_suspect_message_t message = {.kind = MT_SUSPECT_MESSAGE_ANSWERED,
+                                        .digest = digest};
+  if (clears && known)
+    mt_gateway_peers_send_suspect_message(g->peers, &message);
   mt_suspects_page_list(&g->relay->suspects, mt_boot_clock_now(g->loop),
                         &g->scratch);
   send_text(g, x, clears && !known ? 404 : 200);
@@ -631,7 +635,7 @@
   g->started = mt_boot_clock_now(loop);
   g->log = mt_log_writer_open(STDOUT_FILENO, settings->node,
                               settings->log_lines_per_s);
-  g->relay = mt_relay_new(settings->domain, &settings->terms);
+  g->relay = mt_relay_new(settings->domain, &settings->params);
   g->relay->log = on_request_outcome;
   g->relay->log_engine = mt_gateway_engine_gone;
   g->relay->log_ud = g;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -32,7 +32,7 @@
   mt_ms_t grace;       /* from the stop signal until the process is killed */
   int log_lines_per_s; /* log lines a second, of each priority */
   size_t descriptors;  /* file descriptors that the process may open */
-  mt_relay_terms_t terms; /* parameters of the relay's decisions */
+  mt_relay_params_t params; /* parameters of the relay's decisions */
 } mt_gateway_settings_t;
 
 /* An engine as it is registered at the source. */
--- a/src/gateway/gateway_feeds.c
+++ b/src/gateway/gateway_feeds.c
@@ -140,7 +140,7 @@
   size_t routes = catalog->routes_count;
   size_t workspaces = catalog->workspaces_count;
   announce_version(g, catalog, rev);
-  bool applied = mt_relay_declare(g->relay, catalog);
+  bool applied = mt_relay_set_catalog(g->relay, catalog);
   mt_log_line(
       g->log, MT_LOG_STATE, mt_boot_clock_now(g->loop), "configuration",
       "version=%lld routes=%zu workspaces=%zu outcome=%s", (long long)version,
@@ -197,7 +197,7 @@
 
 static void remove_engine (mt_gateway_t *g, mt_engine_t *e, mt_ms_t since) {
   bool known = e->unlisted_since != 0 || e->state == MT_ENGINE_GONE;
-  mt_relay_engine_left(g->relay, e, since, mt_boot_clock_now(g->loop));
+  mt_relay_engine_unlisted(g->relay, e, since, mt_boot_clock_now(g->loop));
   if (!known && e->unlisted_since != 0) log_engine(g, e, "vanished");
 }
 
@@ -245,10 +245,10 @@
     e->domain_id = mtV_id(e->domain, strlen(e->domain));
     e->remote = strcmp(e->domain, g->relay->domain) != 0;
   }
-  uint64_t drains_before = g->relay->counters.drains_heard;
+  uint64_t drains_before = g->relay->counters.drains_gossiped;
   mt_relay_engine_listed(g->relay, e, engine->cold,
                          mt_boot_clock_now(g->loop));
-  if (g->relay->counters.drains_heard != drains_before)
+  if (g->relay->counters.drains_gossiped != drains_before)
     log_engine(g, e, "told-leaving-early");
   set_state(g, e, engine->draining ? MT_ENGINE_DRAINING : MT_ENGINE_READY,
             is_new);
@@ -401,7 +401,7 @@
 }
 
 void mt_gateway_set_config_maybe_stale (mt_gateway_t *g, bool stale) {
-  g->relay->unsure = stale;
+  g->relay->config_maybe_stale = stale;
 }
 
 mt_peer_feed_t mt_gateway_feed (const mt_gateway_t *g, mt_feed_kind_t kind) {
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -52,7 +52,7 @@
       r->id, (number_t)r->digest, r->route, r->workspace,
       r->engine_name[0] ? r->engine_name : "-", r->attempt,
       (number_t)(relay->now - r->arrived), r->status, r->wait_expected,
-      r->first_expected, (number_t)r->first, r->standing,
+      r->ttft_expected, (number_t)r->ttft, r->service_ratio,
       (long long)r->tokens_in, (long long)unshared_tokens(r),
       (long long)r->pending_prefill, (long long)r->fetched, r->home,
       (long long)r->last_event, (long long)version, outcome, why);
--- a/src/gateway/gateway_metrics.c
+++ b/src/gateway/gateway_metrics.c
@@ -34,14 +34,14 @@
 }
 
 static void admissions (const mt_relay_counters_t *c, mt_strbuf_t *out) {
-  static const char *const names[MT_ADMISSIONS] = {[MT_ADMIT_UNKNOWN] =
-                                                       "unknown",
-                                                   [MT_ADMIT_WARM] = "warm",
-                                                   [MT_ADMIT_PLACE] = "place",
-                                                   [MT_ADMIT_NONE] = "none"};
+  static const char *const names[MT_ADMIT_COUNT] = {
+      [MT_ADMIT_UNKNOWN] = "unknown",
+      [MT_ADMIT_WARM] = "warm",
+      [MT_ADMIT_PERMIT] = "place",
+      [MT_ADMIT_NONE] = "none"};
   describe(out, "admissions_total", "counter",
            "Answers of engine owners to admission queries, by answer.");
-  for (int i = 0; i < MT_ADMISSIONS; i++)
+  for (int i = 0; i < MT_ADMIT_COUNT; i++)
     mt_strbuf_format(out, PREFIX "admissions_total{answer=\"%s\"} %llu\n",
                      names[i], (unsigned long long)c->admissions[i]);
 }
@@ -126,7 +126,7 @@
          "Answers aborted after their start.", (double)c->aborted);
   number(out, "callers_left_total", "counter",
          "Callers that disconnected before the end of their answer.",
-         (double)c->callers_left);
+         (double)c->callers_disconnected);
   number(out, "attempts_total", "counter", "Requests sent to engines.",
          (double)c->attempts);
   number(out, "engine_leaves_total", "counter",
@@ -134,16 +134,16 @@
          (double)c->drains);
   number(out, "engine_leaves_told_total", "counter",
          "Engines reported as draining by other routers.",
-         (double)c->drains_heard);
+         (double)c->drains_gossiped);
   number(out, "engine_rests_total", "counter", "Backoff requests of engines.",
          (double)c->backoffs);
   number(out, "events_total", "counter", "Stream events sent to callers.",
          (double)c->events);
   number(out, "prompt_tokens_total", "counter",
-         "Prompt tokens sent to engines.", (double)c->tokens_wanted);
+         "Prompt tokens sent to engines.", (double)c->prompt_tokens);
   number(out, "prompt_tokens_unkept_total", "counter",
          "Prompt tokens probably not in the engine's prefix cache.",
-         (double)c->tokens_missed);
+         (double)c->prompt_tokens_missed);
   number(out, "fetches_total", "counter",
          "Requests whose engine fetched cached tokens from another engine.",
          (double)c->fetches);
@@ -153,7 +153,7 @@
   number(out, "engine_probes_total", "counter",
          "Connection probes of unreachable engines.", (double)c->probes);
   number(out, "ends_total", "counter",
-         "Requests lost because their engine ended.", (double)c->ends);
+         "Requests lost because their engine ended.", (double)c->runs_lost);
   number(out, "retries_denied_total", "counter",
          "Retries denied by the retry budget.", (double)c->retries_denied);
   number(out, "quote_rounds_total", "counter",
--- a/src/gateway/gateway_notices.c
+++ b/src/gateway/gateway_notices.c
@@ -12,7 +12,7 @@
                           const mt_engine_drain_t *drain) {
   mt_relay_event_t event = {.kind = MT_RELAY_NOTICE};
   event.u.notice.engine = engine;
-  event.u.notice.says = *notice;
+  event.u.notice.advertises = *notice;
   event.u.notice.drain = *drain;
   mt_gateway_step(g, &event);
 }
@@ -52,9 +52,9 @@
   const mt_engine_drain_t drain = {now - mt_min(received->age, now),
                                    received->started_at, true};
   char text[INET_ADDRSTRLEN];
-  uint64_t before = g->relay->counters.drains_heard;
+  uint64_t before = g->relay->counters.drains_gossiped;
   apply_notice(g, received->engine, &notice, &drain);
-  if (e == NULL || g->relay->counters.drains_heard == before) return false;
+  if (e == NULL || g->relay->counters.drains_gossiped == before) return false;
   inet_ntop(AF_INET, &router, text, sizeof text);
   mt_log_line(g->log, MT_LOG_STATE, now, "engine",
               "engine=%s age=%llu peer=%s outcome=told-leaving", e->name,
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -309,7 +309,7 @@
 static void report_holder (mt_gateway_peers_t *peers,
                            const mt_relay_request_t *r) {
   const mt_engine_t *home =
-      mt_engines_get(&peers->relay->engines, r->home_of_all);
+      mt_engines_get(&peers->relay->engines, r->home_global);
   if (home == NULL || !mt_kv_cache_should_report(r)) return;
   uint32_t owner = owner_of(peers, home);
   uint64_t segment = mt_kv_cache_home_segment(r->parts, r->parts_count);
@@ -336,14 +336,14 @@
   report_holder(peers, r);
   uint32_t owner = owner_of(peers, r->engine);
   if (owner == peers->members.own_ip) {
-    if (!r->has_place)
+    if (!r->has_permit)
       mt_cold_starts_charge(&peers->relay->cold, r->engine->key);
     return;
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_LOAD);
   m->request_number = r->number;
   add_load(peers, m, r->engine);
-  if (r->has_place) m->engines[0].admission = MT_ADMIT_PLACE;
+  if (r->has_permit) m->engines[0].admission = MT_ADMIT_PERMIT;
   m->parts_count = r->parts_count;
   memcpy(m->parts, r->parts, r->parts_count * sizeof *r->parts);
   send_message(peers, owner);
@@ -354,7 +354,7 @@
   const mt_engine_t *e = mt_engines_get(&peers->relay->engines, key);
   uint32_t owner = e != NULL ? owner_of(peers, e) : 0;
   if (owner == peers->members.own_ip) {
-    mt_cold_starts_give_back(&peers->relay->cold, key);
+    mt_cold_starts_return(&peers->relay->cold, key);
     return;
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_PERMIT_RETURN);
@@ -364,7 +364,7 @@
 
 static void on_back (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
   for (size_t i = 0; i < m->engines_count; i++)
-    mt_cold_starts_give_back(&peers->relay->cold, m->engines[i].key);
+    mt_cold_starts_return(&peers->relay->cold, m->engines[i].key);
 }
 
 /* Reports loads to one owner. */
@@ -461,8 +461,9 @@
                          .load = e->load,
                          .tokens_processed = e->tokens,
                          .valid_until = now + LOAD_VALID_MS};
-    mt_relay_heard_load(peers->relay, e->key, &row, m->parts, m->parts_count);
-    if (m->request_number != 0 && e->admission != MT_ADMIT_PLACE)
+    mt_relay_update_peer_load(peers->relay, e->key, &row, m->parts,
+                              m->parts_count);
+    if (m->request_number != 0 && e->admission != MT_ADMIT_PERMIT)
       mt_cold_starts_charge(&peers->relay->cold, e->key);
   }
 }
--- a/src/gateway/gateway_settings.c
+++ b/src/gateway/gateway_settings.c
@@ -24,7 +24,7 @@
 #define COLD_OVERAGE 1.0
 #define COLD_SLACK 0.0       /* requests */
 #define RUNNING_FRACTION 0.3 /* of the descriptors: requests in progress */
-/* Weights and limits of choosing an engine: mt_relay_terms_t in relay.h. */
+/* Weights and limits of choosing an engine: mt_relay_params_t in relay.h. */
 #define WAIT_FRACTION 0.45
 #define URGENCY_EXPONENT 1.0
 #define ROOM_FRACTION 0.1
@@ -90,35 +90,40 @@
   return (int64_t)mt_min(limit.rlim_cur, (rlim_t)DESCRIPTORS_MAX);
 }
 
-static void read_terms (const json_t *doc, mt_relay_terms_t *terms,
+static void read_terms (const json_t *doc, mt_relay_params_t *params,
                         mt_faults_t *faults) {
   const json_t *retry = json_object_get(doc, "retry");
   const json_t *relay = json_object_get(doc, "relay");
   const json_t *cold = json_object_get(doc, "cold_start");
   json_t *name;
   size_t i;
-  terms->retry.ratio = get_double(retry, "ratio", RETRY_RATIO);
-  terms->retry.window = (mt_ms_t)mtJ_int(retry, "window_ms", RETRY_WINDOW_MS);
-  terms->retry.slack = (int)mtJ_int(retry, "slack", RETRY_SLACK);
-  terms->cold.overage = get_double(cold, "overage", COLD_OVERAGE);
-  terms->cold.slack = get_double(cold, "slack", COLD_SLACK);
-  terms->wait_part = get_double(relay, "wait_part", WAIT_FRACTION);
-  terms->urgency_power = get_double(relay, "urgency_power", URGENCY_EXPONENT);
-  terms->room_part = get_double(relay, "room_part", ROOM_FRACTION);
-  terms->over_power = get_double(relay, "over_power", OVER_SHARE_EXPONENT);
-  terms->miss_weight = get_double(relay, "miss_weight", PREFILL_WEIGHT);
-  terms->miss_weight_easy =
+  params->retry.ratio = get_double(retry, "ratio", RETRY_RATIO);
+  params->retry.window =
+      (mt_ms_t)mtJ_int(retry, "window_ms", RETRY_WINDOW_MS);
+  params->retry.slack = (int)mtJ_int(retry, "slack", RETRY_SLACK);
+  params->cold.overage = get_double(cold, "overage", COLD_OVERAGE);
+  params->cold.slack = get_double(cold, "slack", COLD_SLACK);
+  params->wait_fraction = get_double(relay, "wait_part", WAIT_FRACTION);
+  params->objective_power =
+      get_double(relay, "urgency_power", URGENCY_EXPONENT);
+  params->near_idle_fraction = get_double(relay, "room_part", ROOM_FRACTION);
+  params->over_share_power =
+      get_double(relay, "over_power", OVER_SHARE_EXPONENT);
+  params->miss_weight = get_double(relay, "miss_weight", PREFILL_WEIGHT);
+  params->miss_weight_relaxed =
       get_double(relay, "miss_weight_easy", PREFILL_WEIGHT_UNDER_SHARE);
-  terms->move_weight = get_double(relay, "move_weight", TRANSFER_WEIGHT);
-  terms->far_part = get_double(relay, "far_part", REMOTE_WAIT_FRACTION);
-  terms->far_part_over =
+  params->kv_transfer_weight =
+      get_double(relay, "move_weight", TRANSFER_WEIGHT);
+  params->remote_wait_fraction =
+      get_double(relay, "far_part", REMOTE_WAIT_FRACTION);
+  params->remote_wait_fraction_over_share =
       get_double(relay, "far_part_over", REMOTE_WAIT_FRACTION_OVER_SHARE);
-  terms->cross_ms = get_double(relay, "cross_ms", CROSS_DOMAIN_MS);
+  params->cross_domain_ms = get_double(relay, "cross_ms", CROSS_DOMAIN_MS);
   json_array_foreach (json_object_get(relay, "off"), i, name) {
     mt_relay_mechanism_t which = mt_relay_mechanism(
         json_string_value(name) ? json_string_value(name) : "");
     if (which < MT_RELAY_MECHANISM_COUNT)
-      terms->off[which] = true;
+      params->off[which] = true;
     else
       mtJ_fault(faults, "relay.off", "contains an unknown mechanism");
   }
@@ -140,10 +145,10 @@
   set->log_lines_per_s =
       (int)mtJ_int(doc, "log_lines_per_s", LOG_LINES_PER_S);
   set->descriptors = (size_t)mtJ_int(doc, "descriptors", descriptor_limit());
-  read_terms(doc, &set->terms, faults);
-  set->terms.running_most = mt_min(
+  read_terms(doc, &set->params, faults);
+  set->params.max_running = mt_min(
       (size_t)MT_MAX_RUNNING, (size_t)(RUNNING_FRACTION * set->descriptors));
-  set->terms.vanish_ms =
+  set->params.unlisted_grace_ms =
       (mt_ms_t)((double)mtJ_int(doc, "drain_ms", DRAIN_MS) *
                 UNLISTED_FRACTION);
   return faults->n == 0;
--- a/src/gateway/peer_message.h
+++ b/src/gateway/peer_message.h
@@ -83,7 +83,7 @@
   uint64_t holder; /* QUOTE: another engine that has the prompt's shared
                       segments cached; 0: none */
   /* QUOTE: whether the engine may get the request; LOAD of a request sent
-     just now: MT_ADMIT_PLACE if it had a permit. */
+     just now: MT_ADMIT_PERMIT if it had a permit. */
   mt_admission_t admission;
 } mt_peer_engine_t;
 
--- a/src/relay/candidates.h
+++ b/src/relay/candidates.h
@@ -1,38 +1,40 @@
 /*
-** candidates.h - which engines a request asks about before it is placed
+** candidates.h - which engines are asked for quotes before a request is
+** placed
 **
-** A part that many prompts share gathers at homes: one engine that all
-** routers agree on, and one in each failure domain, so that requests need not
-** leave their domain for it. Requests that find no room in theirs ask for the
-** homes in others.
+** The segments that a prompt shares with others have home engines, chosen by
+** rendezvous hashing: one of the whole fleet, and one in each failure domain,
+** so that requests need not leave their domain to find the segments cached. A
+** request that finds no room in the local domain asks the homes in remote
+** ones.
 */
 #ifndef candidates_h
 #define candidates_h
 
 #include "relay.h"
 
-/* True when the request may be sent to the engine. */
+/* True if the engine takes work and the request has not been sent to it. */
 bool mt_candidates_usable (const mt_relay_t *relay,
                            const mt_relay_request_t *request,
                            const mt_engine_t *engine);
 
 /*
-** How long until one of the service's engines under backoff may take work; 0:
-*one
-** does now, or none will.
+** Time in ms until the first backoff of the service's engines is over; 0: an
+** engine is not in backoff, or there is none.
 */
 mt_ms_t mt_candidates_backoff_left (const mt_relay_t *relay,
                                     const mt_relay_request_t *request);
 
-/* Finds the homes of the request's shared parts, among engines as they are.
+/* Sets the homes of the request's shared segments, among the present engines.
  */
 void mt_candidates_find_homes (mt_relay_t *relay,
                                mt_relay_request_t *request);
 
 /*
-** The next engine whose owner should be asked for the request, or NULL: in
-** the first round homes and others of the own failure domain, in the second
-** homes in other domains that may have room. None is named twice.
+** The next engine to ask for a quote, or NULL: in the first round homes and
+** then other engines of the local failure domain, in the second the homes in
+** remote domains that may have room. Never one that
+** is among the request's candidates.
 */
 const mt_engine_t *mt_candidates_next (mt_relay_t *relay,
                                        const mt_relay_request_t *request);
--- a/src/relay/cold_start.c
+++ b/src/relay/cold_start.c
@@ -1,26 +1,26 @@
 /*
-** cold_start.c - how many requests engines get while they are cold
+** cold_start.c - rate limit of requests to cold engines
 */
 #include <math.h>
 #include <stdlib.h>
 
 #include "cold_start.h"
 
-/* From a place's question until the request it was for arrives: the place's
-   time, and trips of question, answer and request. */
-#define PLACE_TIME_MS (MT_COLD_PLACE_MS + 30)
-/* Of the bound that the operators declare; the rest is for requests that were
-   under way when the engine turned cold. */
+/* From asking for a permit until the request arrives at the engine: validity
+   of the permit, and the messages to and from the owner and to the engine. */
+#define PERMIT_TIME_MS (MT_COLD_PERMIT_MS + 30)
+/* Part of the declared bound that is granted; the rest is for requests that
+   were on their way when the engine became cold. */
 #define BOUND_PART 0.85
-#define BURST_PART 0.5 /* of the slack, at once */
-#define KEPT_MS 10000  /* that an engine was cold is remembered so long */
+#define BURST_PART 0.5  /* of the slack: capacity of the bucket */
+#define FORGET_MS 10000 /* warm engines are forgotten after this */
 #define SWEEP_MS 1000
 
 typedef struct bucket_t {
-  mt_ms_t until;    /* cold until then */
-  double tokens;    /* places that can be given now; below 0: owed */
-  double most;      /* of them at once */
-  mt_ms_t refilled; /* 0: it has not been asked */
+  mt_ms_t cold_until;
+  double permits;   /* available; below 0 after requests without one */
+  double capacity;  /* most that may be available */
+  mt_ms_t refilled; /* time of the last refill; 0: none yet */
 } bucket_t;
 
 static bucket_t *find (const mt_cold_starts_t *s, uint64_t engine) {
@@ -32,28 +32,28 @@
   mtV_free(&s->by_engine);
 }
 
-void mt_cold_starts_note (mt_cold_starts_t *s, uint64_t engine, mt_ms_t until,
-                          mt_ms_t now) {
+void mt_cold_starts_set (mt_cold_starts_t *s, uint64_t engine,
+                         mt_ms_t cold_until, mt_ms_t now) {
   bucket_t *b = find(s, engine);
   if (b == NULL) {
-    if (until <= now) return;
+    if (cold_until <= now) return;
     b = mtV_new(sizeof *b);
     mtV_put(&s->by_engine, engine, b);
   }
-  b->until = until;
+  b->cold_until = cold_until;
 }
 
 bool mt_cold_starts_is_cold (const mt_cold_starts_t *s, uint64_t engine,
                              mt_ms_t now) {
   const bucket_t *b = find(s, engine);
-  return b != NULL && b->until > now;
+  return b != NULL && b->cold_until > now;
 }
 
 size_t mt_cold_starts_count (const mt_cold_starts_t *s, mt_ms_t now) {
   size_t count = 0;
   mtV_each (&s->by_engine, i) {
     const bucket_t *b = s->by_engine.vals[i];
-    count += b->until > now;
+    count += b->cold_until > now;
   }
   return count;
 }
@@ -61,44 +61,46 @@
 /* {== The bucket ======================================================= */
 
 /*
-** Places given in a second and in the time that one counts are at most
-** `most` and what is refilled meanwhile: that stays within the bound.
+** Requests that arrive within one second used permits granted within 1 s +
+** PERMIT_TIME_MS: at most a full bucket and what is refilled in that time.
+** The refill rate keeps this sum within the bound.
 */
-static void refill (bucket_t *b, double rate, const mt_cold_terms_t *terms,
-                    double part, mt_ms_t now) {
-  double bound = BOUND_PART * (rate * terms->overage + terms->slack);
-  double burst = fmax(terms->slack * BURST_PART, 1);
-  double per_s = (bound - burst) / (1 + PLACE_TIME_MS / 1000.0);
-  b->most = fmax(burst * part, 1);
+static void refill (bucket_t *b, double rate, const mt_cold_params_t *params,
+                    double fraction, mt_ms_t now) {
+  double bound = BOUND_PART * (rate * params->overage + params->slack);
+  double burst = fmax(params->slack * BURST_PART, 1);
+  double per_s = (bound - burst) / (1 + PERMIT_TIME_MS / 1000.0);
+  b->capacity = fmax(burst * fraction, 1);
   if (b->refilled == 0)
-    b->tokens += burst * part;
+    b->permits += burst * fraction;
   else
-    b->tokens += per_s * part * (double)(now - b->refilled) / 1000.0;
+    b->permits += per_s * fraction * (double)(now - b->refilled) / 1000.0;
   b->refilled = now;
-  b->tokens = fmin(b->tokens, b->most);
+  b->permits = fmin(b->permits, b->capacity);
 }
 
-mt_admission_t mt_cold_starts_ask (mt_cold_starts_t *s, uint64_t engine,
-                                   double rate, const mt_cold_terms_t *terms,
-                                   double part, mt_ms_t now) {
+mt_admission_t mt_cold_starts_acquire (mt_cold_starts_t *s, uint64_t engine,
+                                       double rate,
+                                       const mt_cold_params_t *params,
+                                       double fraction, mt_ms_t now) {
   bucket_t *b = find(s, engine);
   if (b == NULL) return MT_ADMIT_UNKNOWN;
-  if (b->until <= now) return MT_ADMIT_WARM;
-  if (part <= 0) return MT_ADMIT_NONE;
-  refill(b, rate, terms, part, now);
-  if (b->tokens < 1) return MT_ADMIT_NONE;
-  b->tokens--;
-  return MT_ADMIT_PLACE;
+  if (b->cold_until <= now) return MT_ADMIT_WARM;
+  if (fraction <= 0) return MT_ADMIT_NONE;
+  refill(b, rate, params, fraction, now);
+  if (b->permits < 1) return MT_ADMIT_NONE;
+  b->permits--;
+  return MT_ADMIT_PERMIT;
 }
 
-void mt_cold_starts_give_back (mt_cold_starts_t *s, uint64_t engine) {
+void mt_cold_starts_return (mt_cold_starts_t *s, uint64_t engine) {
   bucket_t *b = find(s, engine);
-  if (b != NULL) b->tokens = fmin(b->tokens + 1, b->most);
+  if (b != NULL) b->permits = fmin(b->permits + 1, b->capacity);
 }
 
 void mt_cold_starts_charge (mt_cold_starts_t *s, uint64_t engine) {
   bucket_t *b = find(s, engine);
-  if (b != NULL) b->tokens--;
+  if (b != NULL) b->permits--;
 }
 
 /* }== */
@@ -109,7 +111,7 @@
   for (size_t i = s->by_engine.cap; i-- > 0;) {
     if (s->by_engine.keys[i] == 0) continue;
     bucket_t *b = s->by_engine.vals[i];
-    if (now < b->until + KEPT_MS) continue;
+    if (now < b->cold_until + FORGET_MS) continue;
     mtV_del(&s->by_engine, s->by_engine.keys[i]);
     free(b);
   }
--- a/src/relay/cold_start.h
+++ b/src/relay/cold_start.h
@@ -1,80 +1,81 @@
 /*
-** cold_start.h - how many requests engines get while they are cold
+** cold_start.h - rate limit of requests to cold engines
 **
-** An engine that has just started, or was emptied and is used again, bears
-** few requests a second until it is warm. The bound holds for all routers
-** together, so it is handed out in one place: the engine's owner gives each
-** request that asks one place of a token bucket, or none. Without a place
-** nobody sends a request to a cold engine. A place counts for a short time. A
-** router that does not use one gives it back; whatever the owner hears
-** nothing of is taken for used, so lost messages make the engine get less,
-** never more: when silence counted as unused, 38 requests came in a second
-** where 19.7 are allowed (tests, half of the messages lost).
+** An engine that has just started, or whose failure domain is readmitted
+** after an evacuation, can take only a few requests per second until it is
+** warm. The limit holds for all routers together, so the engine's owner
+** enforces it: it grants each request that asks a permit from a token bucket,
+** or none, and nobody sends a request to a cold engine without one. A permit
+** is valid for a short time. A router returns one that it does not use; a
+** permit that is not returned counts as used, so that lost messages lower the
+** rate and never raise it: when it counted as unused, with half of the
+** messages lost, an engine got 38 requests in one second where 19.7 were
+** allowed.
 **
-** Owners may be mistaken about who owns an engine while routers are cut off
-** from each other. Each hands out only the part of the bucket that its
-** routers are of all it knows, so parts that do not see each other hand out
-** one bucket together.
+** While the network is partitioned several routers may believe to own an
+** engine. Each grants only that fraction of the bucket that the routers it
+** can reach are of all it knows, so all partitions together grant one bucket.
 */
 #ifndef cold_start_h
 #define cold_start_h
 
 #include "mtmem.h"
 
-/* A place that is used counts from its question for at most so long. */
-#define MT_COLD_PLACE_MS 50
+/* A permit is valid for this long after the request asked for quotes. */
+#define MT_COLD_PERMIT_MS 50
 
-/* What an engine's owner says of sending it one request. */
+/* An owner's admission of one request to its engine. */
 typedef enum mt_admission_t {
-  MT_ADMIT_UNKNOWN, /* the owner knows of nothing against it */
-  MT_ADMIT_WARM,    /* it was cold and is not any more */
-  MT_ADMIT_PLACE,   /* it is cold; the request has a place there */
-  MT_ADMIT_NONE,    /* it is cold and has none now, or gets no work */
-  MT_ADMISSIONS
+  MT_ADMIT_UNKNOWN, /* not known to be cold or to take no work */
+  MT_ADMIT_WARM,    /* was cold and is warm now */
+  MT_ADMIT_PERMIT,  /* cold; a permit is granted */
+  MT_ADMIT_NONE,    /* cold without a permit, or takes no work */
+  MT_ADMIT_COUNT
 } mt_admission_t;
 
 /*
-** The bound on what arrives at one cold engine in any second, as the
-** operators declare it: a service's rate times `overage`, and `slack`.
+** Declared bound on the requests that arrive at one cold engine in any
+** second: the service's rate times `overage`, plus `slack`.
 */
-typedef struct mt_cold_terms_t {
+typedef struct mt_cold_params_t {
   double overage;
   double slack; /* requests */
-} mt_cold_terms_t;
+} mt_cold_params_t;
 
 typedef struct mt_cold_starts_t {
-  mt_map_t by_engine; /* engine's key -> its bucket, owned */
+  mt_map_t by_engine; /* engine key -> token bucket, owned */
   mt_ms_t next_sweep;
 } mt_cold_starts_t;
 
 void mt_cold_starts_free (mt_cold_starts_t *starts);
 
-/* The engine is cold until then; until now or earlier: it is warm. */
-void mt_cold_starts_note (mt_cold_starts_t *starts, uint64_t engine,
-                          mt_ms_t until, mt_ms_t now);
+/* The engine is cold until that time; warm if it is not after `now`. */
+void mt_cold_starts_set (mt_cold_starts_t *starts, uint64_t engine,
+                         mt_ms_t cold_until, mt_ms_t now);
 
 bool mt_cold_starts_is_cold (const mt_cold_starts_t *starts, uint64_t engine,
                              mt_ms_t now);
 
-/* How many are cold. */
+/* Number of cold engines. */
 size_t mt_cold_starts_count (const mt_cold_starts_t *starts, mt_ms_t now);
 
 /*
-** The owner's answer to whoever asks for one request. `rate`: requests
-** a second that a cold engine of the service bears. `part`: of the bucket, 0
-** to 1; 0 hands out nothing.
+** The owner's admission of one request; takes a permit if there is one.
+** `rate`: requests per second that a cold engine of the service can take.
+** `fraction`: part of the bucket that this owner may grant, 0 to 1.
 */
-mt_admission_t mt_cold_starts_ask (mt_cold_starts_t *starts, uint64_t engine,
-                                   double rate, const mt_cold_terms_t *terms,
-                                   double part, mt_ms_t now);
+mt_admission_t mt_cold_starts_acquire (mt_cold_starts_t *starts,
+                                       uint64_t engine, double rate,
+                                       const mt_cold_params_t *params,
+                                       double fraction, mt_ms_t now);
 
-/* A place was not used. */
-void mt_cold_starts_give_back (mt_cold_starts_t *starts, uint64_t engine);
+/* Returns an unused permit. */
+void mt_cold_starts_return (mt_cold_starts_t *starts, uint64_t engine);
 
-/* The engine got a request that had no place. */
+/* Takes a permit for a request that the engine got without one. */
 void mt_cold_starts_charge (mt_cold_starts_t *starts, uint64_t engine);
 
-/* Forgets engines that have been warm for long; some times a second. */
+/* Removes engines that have long been warm; called a few times per second. */
 void mt_cold_starts_expire (mt_cold_starts_t *starts, mt_ms_t now);
 
 #endif
--- a/src/relay/domain_load.c
+++ b/src/relay/domain_load.c
@@ -1,11 +1,9 @@
 /*
-** domain_load.c - how full other failure domains are, as owners there tell
+** domain_load.c - load of remote failure domains, from their owners' quotes
 */
 #include "domain_load.h"
 
-#define SAMPLE_PART                                       \
-  0.25 /* of the next value: an answer's; the rest is old \
-        */
+#define SAMPLE_WEIGHT 0.25 /* weight of one quote in the smoothed load */
 
 mt_domain_load_t *mt_domain_loads_get (mt_relay_t *relay,
                                        const mt_engine_t *e) {
@@ -14,7 +12,7 @@
     if (load->domain == e->domain_id && load->service == e->service)
       return load;
   }
-  /* With too many the last entry serves for the rest. */
+  /* When the table is full the last entry is reused. */
   if (relay->domain_loads_count < MT_DOMAIN_LOADS_MAX)
     relay->domain_loads_count++;
   mt_domain_load_t *load =
@@ -24,11 +22,11 @@
 }
 
 void mt_domain_loads_learn (mt_relay_t *relay, const mt_engine_t *e,
-                            const mt_engine_load_t *told) {
+                            const mt_engine_load_t *quoted) {
   mt_domain_load_t *load = mt_domain_loads_get(relay, e);
-  double pending_prefill = (double)told->pending_prefill;
+  double pending_prefill = (double)quoted->pending_prefill;
   if (load->told == 0) load->pending_prefill = pending_prefill;
   load->pending_prefill +=
-      (pending_prefill - load->pending_prefill) * SAMPLE_PART;
+      (pending_prefill - load->pending_prefill) * SAMPLE_WEIGHT;
   load->told = relay->now;
 }
--- a/src/relay/evacuation.c
+++ b/src/relay/evacuation.c
@@ -1,12 +1,12 @@
 /*
-** evacuation.c - failure domains whose engines are to get no work
+** evacuation.c - failure domains whose engines get no new work
 */
 #include <stdio.h>
 #include <string.h>
 
 #include "evacuation.h"
 
-/* Its index, or the count. */
+/* Index of the domain, or the count if it is not on the list. */
 static size_t find (const mt_evacuations_t *list, const char *domain) {
   size_t i = 0;
   while (i < list->count && strcmp(list->names[i], domain) != 0) i++;
--- a/src/relay/event_stream.c
+++ b/src/relay/event_stream.c
@@ -1,5 +1,5 @@
 /*
-** event_stream.c - cuts a text/event-stream into whole events
+** event_stream.c - splits a text/event-stream into complete events
 */
 #include <stdlib.h>
 #include <string.h>
@@ -7,10 +7,10 @@
 #include "event_stream.h"
 
 bool mt_event_stream_feed (mt_event_stream_t *s, const char *p, size_t n) {
-  if (s->taken > 0) {
-    memmove(s->bytes, s->bytes + s->taken, s->used - s->taken);
-    s->used -= s->taken;
-    s->taken = 0;
+  if (s->consumed > 0) {
+    memmove(s->bytes, s->bytes + s->consumed, s->used - s->consumed);
+    s->used -= s->consumed;
+    s->consumed = 0;
   }
   if (s->used + n > MT_EVENT_MAX) return false;
   if (s->used + n > s->cap) {
@@ -26,7 +26,7 @@
   return true;
 }
 
-/* Offset just behind the empty line that ends an event; 0: not there yet. */
+/* Offset after the empty line that ends the event; 0: incomplete. */
 static size_t event_end (const char *p, size_t n) {
   for (size_t i = 0; i + 1 < n; i++) {
     if (p[i] != '\n') continue;
@@ -36,7 +36,7 @@
   return 0;
 }
 
-/* The number in the event's line "id: N"; -1 when there is none. */
+/* The number in the event's line "id: N"; -1 if there is none. */
 static int64_t event_id (const char *p, size_t n) {
   const char *end = p + n;
   while (p < end) {
@@ -57,17 +57,17 @@
 }
 
 bool mt_event_stream_next (mt_event_stream_t *s, mt_stream_event_t *event) {
-  const char *p = s->bytes + s->taken;
-  size_t size = s->bytes ? event_end(p, s->used - s->taken) : 0;
+  const char *p = s->bytes + s->consumed;
+  size_t size = s->bytes ? event_end(p, s->used - s->consumed) : 0;
   if (size == 0) return false;
   event->text = (mt_bytes_t){p, size};
   event->id = event_id(p, size);
-  s->taken += size;
+  s->consumed += size;
   return true;
 }
 
 bool mt_event_stream_partial (const mt_event_stream_t *s) {
-  return s->used > s->taken;
+  return s->used > s->consumed;
 }
 
 void mt_event_stream_free (mt_event_stream_t *s) {
--- a/src/relay/kv_cache.c
+++ b/src/relay/kv_cache.c
@@ -55,7 +55,7 @@
 /* A usable engine that an owner reported as holder of the shared segments. */
 static mt_engine_t *reported_holder (const mt_relay_t *relay,
                                      const mt_relay_request_t *r) {
-  if (relay->terms.off[MT_RELAY_HOLDERS]) return NULL;
+  if (relay->params.off[MT_RELAY_HOLDERS]) return NULL;
   for (size_t i = 0; i < r->candidates_count; i++) {
     mt_engine_t *e = mt_engines_get(&relay->engines, r->candidates[i].holder);
     if (e != NULL && can_be_source(relay, r, e)) return e;
@@ -69,7 +69,7 @@
                                       int64_t *tokens) {
   mt_engine_t *best = NULL;
   *tokens = 0;
-  if (!service->kv_transfer || relay->terms.off[MT_RELAY_FETCH]) return NULL;
+  if (!service->kv_transfer || relay->params.off[MT_RELAY_FETCH]) return NULL;
   for (size_t i = 0; i < relay->engines.count; i++) {
     mt_engine_t *e = relay->engines.list[i];
     if (!can_be_source(relay, r, e)) continue;
--- a/src/relay/placement.c
+++ b/src/relay/placement.c
@@ -1,5 +1,5 @@
 /*
-** placement.c - which engine a request goes to, and whether it should
+** placement.c - chooses the engine for a request, or finds no room for it
 */
 #include <math.h>
 #include <string.h>
@@ -9,21 +9,23 @@
 #include "placement.h"
 #include "quotes.h"
 
-#define FULL_PENALTY_MS 2000.0      /* a slot has to be waited for */
+/* Terms of an engine's cost, in ms of expected time to first token. */
+#define FULL_PENALTY_MS 2000.0      /* no free slot */
 #define MEMORY_PENALTY_MS 1000.0    /* running requests would be preempted */
-#define FAILING_PENALTY_MS 50.0     /* one failure in a row */
-#define REJECTION_PENALTY_MS 2000.0 /* it rejects every attempt */
-#define RUNNING_MS 1.0 /* each running request slows all others a little */
-#define ROOM_POWER 3   /* how fast room falls beyond the share */
-/* Whoever got so much of the level, and so much of what another backlogged
-   workspace got, is refused: well below the twice that is promised, since
-   shares are told with a delay. */
-#define OVER_LEVEL 1.6
-#define OVER_BOTTOM 1.25
-#define OVER_LIMIT_MS 2500.0 /* there it would be refused */
-/* How full a failure domain was counts for so long; then it is asked again.
- */
-#define FULL_MS 2000
+#define FAILURE_PENALTY_MS 50.0     /* per failure in a row */
+#define REJECTION_PENALTY_MS 2000.0 /* times the rejection rate */
+#define RUNNING_PENALTY_MS 1.0 /* per running request, each slows others */
+#define ROOM_POWER 3 /* room falls with the service ratio's third power */
+/* A workspace is refused if its service ratio is above the first value and
+   above the second times that of the least served backlogged workspace. Both
+   are well below the guaranteed bound of 2, since routers receive each
+   other's rates with a delay. */
+#define OVER_LEVEL_RATIO 1.6
+#define OVER_MIN_RATIO 1.25
+/* Beyond the wait limit the request would be refused. */
+#define OVER_LIMIT_PENALTY_MS 2500.0
+/* The load of a failure domain is used for this long; then it is asked. */
+#define DOMAIN_LOAD_VALID_MS 2000
 
 static int running (const mt_engine_t *e) {
   return e->local.running + e->peers.running;
@@ -33,65 +35,73 @@
   return e->local.pending_prefill + e->peers.pending_prefill;
 }
 
-/* What the request's workspace got, as a multiple of its share. */
-static double standing_of (mt_relay_t *relay, const mt_relay_request_t *r) {
+/* Service ratio of the request's workspace; 0 without one. */
+static double service_ratio_of (mt_relay_t *relay,
+                                const mt_relay_request_t *r) {
   if (r->workspace == 0) return 0;
   return mt_fair_share_service_ratio(&relay->shares, r->workspace);
 }
 
 /*
-** How far a request may leave the engine that keeps its parts, 0 to 1: the
-** further the less its workspace got beside the one that got most. Whoever
-** had its share stays, since reading parts elsewhere makes all work late.
+** How much prefix locality is relaxed for a request, 0 to 1: 1 for a
+** workspace that was served nothing, 0 for the one with the highest service
+** ratio. Prefill that an engine with the segments cached would not need
+** delays the work of all workspaces.
 */
-static double ease_of (mt_relay_t *relay, const mt_relay_request_t *r) {
+static double relaxation_of (mt_relay_t *relay, const mt_relay_request_t *r) {
   double max_service_ratio = fmax(relay->shares.max_service_ratio, 1);
-  if (relay->terms.off[MT_RELAY_OWED]) return 0;
-  return fmin(fmax(1 - standing_of(relay, r) / max_service_ratio, 0), 1);
+  if (relay->params.off[MT_RELAY_OWED]) return 0;
+  return fmin(fmax(1 - service_ratio_of(relay, r) / max_service_ratio, 0), 1);
 }
 
 /*
-** How long the request may wait at an engine: a part of the service's
-** shortest objective, less for a longer objective, and less the more its
-** workspace has had beyond its share. An engine with little wait has room
-** for all, yet more for whoever had less: else who asks most often would get
-** most of the room.
+** Longest expected wait at an engine, in ms: a fraction of the service's
+** shortest objective; less for a longer objective, and less the higher the
+** workspace's service ratio above 1. A small part of the limit
+** (near_idle_fraction) falls more slowly, so that nearly idle engines have
+** room for all; it falls as well, or the workspace that sends most would get
+** most of that room.
 */
 static double wait_limit (mt_relay_t *relay, const mt_relay_request_t *r,
                           const mt_catalog_service_t *service) {
-  const mt_relay_terms_t *terms = &relay->terms;
+  const mt_relay_params_t *params = &relay->params;
   mt_ms_t shortest = service->objective ? service->objective : r->objective;
-  double limit = (double)shortest * terms->wait_part;
-  double standing = standing_of(relay, r);
+  double limit = (double)shortest * params->wait_fraction;
+  double service_ratio = service_ratio_of(relay, r);
   if (r->objective > shortest)
     limit *=
-        pow((double)shortest / (double)r->objective, terms->urgency_power);
-  if (standing > 1)
-    limit *= fmax(pow(standing, -terms->over_power),
-                  terms->room_part * pow(standing, -ROOM_POWER));
+        pow((double)shortest / (double)r->objective, params->objective_power);
+  if (service_ratio > 1)
+    limit *=
+        fmax(pow(service_ratio, -params->over_share_power),
+             params->near_idle_fraction * pow(service_ratio, -ROOM_POWER));
   return limit;
 }
 
-/* Of the wait limit, at engines of other failure domains. */
-static double far_part (mt_relay_t *relay, const mt_relay_request_t *r) {
-  bool over = standing_of(relay, r) > 1;
-  return over ? relay->terms.far_part_over : relay->terms.far_part;
+/* Fraction of the wait limit that applies in remote failure domains. */
+static double remote_wait_fraction (mt_relay_t *relay,
+                                    const mt_relay_request_t *r) {
+  bool over = service_ratio_of(relay, r) > 1;
+  return over ? relay->params.remote_wait_fraction_over_share
+              : relay->params.remote_wait_fraction;
 }
 
 /* {== Costs of engines ================================================= */
 
-/* What is the same for all engines that a request may go to. */
+/* Search for the engine with the least cost for one request. */
 typedef struct costs_t {
   const mt_relay_t *relay;
   const mt_relay_request_t *request;
-  const mt_catalog_service_t *service; /* of a model, or NULL */
-  mt_prefill_model_t line;
-  mt_engine_t *source; /* keeps `there` tokens of the prompt, or NULL */
-  int64_t there;
-  int64_t unshared; /* tokens of the prompt that only it has */
-  double limit, far_limit, ease;
-  double reading; /* weight of the time to read, beside a wait */
-  mt_placement_t best;
+  const mt_catalog_service_t *service; /* of a language model, or NULL */
+  mt_prefill_model_t prefill;
+  /* The engine to fetch from, and the tokens that it has cached; or NULL. */
+  mt_engine_t *source;
+  int64_t source_tokens;
+  int64_t unshared; /* tokens of the last segment */
+  /* Wait limits in ms; how much prefix locality is relaxed, 0 to 1. */
+  double limit, remote_limit, relaxation;
+  double miss_factor;  /* weight of prefill time against waiting time */
+  mt_placement_t best; /* so far */
   double best_cost;
 } costs_t;
 
@@ -101,87 +111,93 @@
   costs_t c = {.relay = relay, .request = r};
   if (service == NULL || !service->model) return c;
   c.service = service;
-  c.line = mt_relay_read_line(relay, r->service);
+  c.prefill = mt_relay_prefill_time(relay, r->service);
   c.unshared = mt_max(r->tokens_in - mt_kv_cache_shared_tokens(r), 1);
   c.limit = wait_limit(relay, r, service);
-  c.far_limit = c.limit * far_part(relay, r);
-  c.ease = ease_of(relay, r);
-  c.reading = relay->terms.miss_weight * (1 - c.ease) +
-              relay->terms.miss_weight_easy * c.ease;
+  c.remote_limit = c.limit * remote_wait_fraction(relay, r);
+  c.relaxation = relaxation_of(relay, r);
+  c.miss_factor = relay->params.miss_weight * (1 - c.relaxation) +
+                  relay->params.miss_weight_relaxed * c.relaxation;
   return c;
 }
 
 /*
-** How long it may wait there. Bytes between failure domains are dear and work
-** abroad displaces what has its parts there, so less; and whoever had its
-** share leaves only for engines that are all but idle.
+** Wait limit at the engine. It is lower in remote failure domains, where the
+** request costs traffic between domains and displaces cached segments of the
+** requests there; beyond the fair share only nearly idle remote engines are
+** used.
 */
 static double limit_at (const costs_t *c, const mt_engine_t *e) {
-  return e->remote && c->request->rounds > 1 ? c->far_limit : c->limit;
+  return e->remote && c->request->rounds > 1 ? c->remote_limit : c->limit;
 }
 
 /*
-** The expected time to the first event, reading of unkept parts weighed more.
-** What is read at a home is read for all that follow: it isn't held against
-** the home, or parts would never gather there.
+** Expected time to first token, with the prefill of uncached tokens weighted
+** more, and penalties. At a home the prefill of shared segments is not
+** weighted: all later requests reuse it, and the segments would otherwise
+** never be cached there.
 */
 static double model_cost (const costs_t *c, mt_engine_t *e,
                           mt_placement_t *p) {
   const mt_relay_request_t *r = c->request;
-  const mt_relay_terms_t *terms = &c->relay->terms;
+  const mt_relay_params_t *params = &c->relay->params;
   int64_t kv_capacity = c->service->kv_capacity;
   int64_t cached = mt_kv_cache_cached_tokens(r, e, kv_capacity);
-  mt_kv_fetch_t fetch = mt_kv_cache_plan_fetch(
-      c->service, c->source, c->there, e, cached, c->line.ms_per_token);
+  mt_kv_fetch_t fetch =
+      mt_kv_cache_plan_fetch(c->service, c->source, c->source_tokens, e,
+                             cached, c->prefill.ms_per_token);
   int64_t miss = mt_max(r->tokens_in - cached - fetch.tokens, 1);
-  bool gathers = e->key == r->home_of_all || e->key == r->home_near;
-  int64_t weighed = gathers ? mt_min(miss, c->unshared) : miss;
-  double per_token = c->line.ms_per_token * e->slowness;
+  bool is_home = e->key == r->home_global || e->key == r->home_local;
+  int64_t weighted = is_home ? mt_min(miss, c->unshared) : miss;
+  double per_token = c->prefill.ms_per_token * e->slowness;
   double wait = (double)pending_prefill(e) * per_token;
   double read = (double)miss * per_token;
   bool full = running(e) >= e->slots;
   int64_t held = e->local.held + e->peers.held + miss;
-  double cost = wait + (double)weighed * per_token * c->reading;
-  cost += fetch.ms * terms->move_weight * c->reading;
+  double cost = wait + (double)weighted * per_token * c->miss_factor;
+  cost += fetch.ms * params->kv_transfer_weight * c->miss_factor;
   if (wait > limit_at(c, e))
-    cost += (r->rounds > 1 ? 1 : c->ease) * OVER_LIMIT_MS;
-  cost += running(e) * RUNNING_MS;
+    cost += (r->rounds > 1 ? 1 : c->relaxation) * OVER_LIMIT_PENALTY_MS;
+  cost += running(e) * RUNNING_PENALTY_MS;
   if (full) cost += FULL_PENALTY_MS;
   if (kv_capacity > 0 && held > kv_capacity) cost += MEMORY_PENALTY_MS;
-  cost += e->failures * FAILING_PENALTY_MS;
-  /* An engine that rejects its work is idle, and would attract all of it. */
+  cost += e->failures * FAILURE_PENALTY_MS;
+  /* An engine that rejects requests looks idle, and would attract more. */
   cost += mt_engine_rejection_rate(e, c->relay->now) * REJECTION_PENALTY_MS;
-  if (e->remote) cost += terms->cross_ms;
+  if (e->remote) cost += params->cross_domain_ms;
   *p = (mt_placement_t){.engine = e,
                         .miss = miss,
                         .wait_ms = wait,
-                        .first_ms = c->line.fixed_ms + wait + read + fetch.ms,
+                        .ttft_ms =
+                            c->prefill.fixed_ms + wait + read + fetch.ms,
                         .full = full,
-                        .home = e->key == r->home_of_all,
+                        .home = e->key == r->home_global,
                         .fetch = fetch};
   return cost;
 }
 
-/* The used share of slots, those of the router's own domain first. */
-static double plain_cost (const costs_t *c, mt_engine_t *e,
-                          mt_placement_t *p) {
+/* Fraction of the slots in use with this request; for a remote engine half a
+   slot more. */
+static double slot_cost (const costs_t *c, mt_engine_t *e,
+                         mt_placement_t *p) {
   double slots = mt_max(e->slots, 1);
   *p = (mt_placement_t){.engine = e, .full = running(e) >= e->slots};
   return (running(e) + 1) / slots + (e->remote ? 0.5 / slots : 0) +
          e->failures;
 }
 
-/* What an engine may end under goes where the least runs that would end with
-   it; of several each trial goes to another. */
+/* A suspect request, which may crash the engine, goes where the fewest
+   requests run; the request number breaks ties, so that trials use different
+   engines. */
 static double trial_cost (const costs_t *c, const mt_engine_t *e) {
   uint64_t order = mtV_mix(c->request->number, e->key) % 1000;
   return running(e) + (double)order / 1000;
 }
 
-/* Keeps the engine if it is better than the best so far. */
-static void weigh (costs_t *c, mt_engine_t *e) {
+/* Keeps the engine if its cost is the least so far. */
+static void consider (costs_t *c, mt_engine_t *e) {
   mt_placement_t p;
-  double cost = c->service ? model_cost(c, e, &p) : plain_cost(c, e, &p);
+  double cost = c->service ? model_cost(c, e, &p) : slot_cost(c, e, &p);
   if (c->request->on_trial) cost = trial_cost(c, e);
   if (c->best.engine != NULL && cost >= c->best_cost) return;
   c->best = p;
@@ -201,16 +217,17 @@
                                     const mt_relay_request_t *r) {
   costs_t c = begin_costs(relay, r);
   if (c.service != NULL)
-    c.source = mt_kv_cache_find_source(relay, r, c.service, &c.there);
+    c.source = mt_kv_cache_find_source(relay, r, c.service, &c.source_tokens);
   for (size_t i = 0; i < r->candidates_count; i++) {
-    const mt_relay_candidate_t *told = &r->candidates[i];
-    mt_engine_t *e = mt_engines_get(&relay->engines, told->engine);
-    if (told->quoted && e != NULL && may_go_to(relay, r, e)) weigh(&c, e);
+    const mt_relay_candidate_t *candidate = &r->candidates[i];
+    mt_engine_t *e = mt_engines_get(&relay->engines, candidate->engine);
+    if (candidate->quoted && e != NULL && may_go_to(relay, r, e))
+      consider(&c, e);
   }
   if (c.best.engine != NULL) return c.best;
   for (size_t i = 0; i < relay->engines.count; i++) {
     mt_engine_t *e = relay->engines.list[i];
-    if (may_go_to(relay, r, e)) weigh(&c, e);
+    if (may_go_to(relay, r, e)) consider(&c, e);
   }
   return c.best;
 }
@@ -218,10 +235,11 @@
 bool mt_placement_may_have_room (mt_relay_t *relay,
                                  const mt_relay_request_t *r,
                                  const mt_domain_load_t *load) {
-  if (load->told == 0 || relay->now - load->told > FULL_MS) return true;
+  if (load->told == 0 || relay->now - load->told > DOMAIN_LOAD_VALID_MS)
+    return true;
   costs_t c = begin_costs(relay, r);
   if (c.service == NULL) return true;
-  return load->pending_prefill * c.line.ms_per_token <= c.far_limit;
+  return load->pending_prefill * c.prefill.ms_per_token <= c.remote_limit;
 }
 
 mt_engine_t *mt_placement_best_of (mt_relay_t *relay,
@@ -230,28 +248,32 @@
                                    size_t count) {
   costs_t c = begin_costs(relay, r);
   for (size_t i = 0; i < count; i++)
-    if (mt_candidates_usable(relay, r, engines[i])) weigh(&c, engines[i]);
+    if (mt_candidates_usable(relay, r, engines[i])) consider(&c, engines[i]);
   return c.best.engine;
 }
 
 /*
-** Engines that are idle for a moment would all go to whoever tries most often
-** and at most routers, however much it had, where little is left for all.
+** True if the request is refused even at an idle engine: under overload the
+** workspace that sends most often, and through most routers, would otherwise
+** get every engine that is idle for a moment, however much it was served.
 */
-static bool got_far_more (mt_relay_t *relay, const mt_relay_request_t *r) {
+static bool is_far_over_share (mt_relay_t *relay,
+                               const mt_relay_request_t *r) {
   double min_service_ratio = relay->shares.min_service_ratio;
-  double most = fmax(OVER_LEVEL, OVER_BOTTOM * min_service_ratio);
-  return min_service_ratio > 0 && standing_of(relay, r) > most;
+  double most = fmax(OVER_LEVEL_RATIO, OVER_MIN_RATIO * min_service_ratio);
+  return min_service_ratio > 0 && service_ratio_of(relay, r) > most;
 }
 
 bool mt_placement_admits (mt_relay_t *relay, const mt_relay_request_t *r,
                           const mt_placement_t *p, mt_relay_refusal_t *why) {
   const mt_catalog_service_t *service =
       mt_catalog_find_service(relay->catalog, r->service);
-  *why = standing_of(relay, r) > 1 ? MT_RELAY_OVER_SHARE : MT_RELAY_BUSY;
-  if (service == NULL || !service->model) return true; /* it sheds itself */
-  if (p->full || got_far_more(relay, r)) return false;
+  *why = service_ratio_of(relay, r) > 1 ? MT_RELAY_OVER_SHARE : MT_RELAY_BUSY;
+  if (service == NULL || !service->model)
+    return true; /* its engines reject */
+  if (p->full || is_far_over_share(relay, r)) return false;
   double limit = wait_limit(relay, r, service);
-  if (p->engine->remote && r->rounds > 1) limit *= far_part(relay, r);
+  if (p->engine->remote && r->rounds > 1)
+    limit *= remote_wait_fraction(relay, r);
   return limit <= 0 || p->wait_ms <= limit;
 }
--- a/src/relay/placement.h
+++ b/src/relay/placement.h
@@ -1,5 +1,5 @@
 /*
-** placement.h - which engine a request goes to, and whether it should
+** placement.h - chooses the engine for a request, or finds no room for it
 */
 #ifndef placement_h
 #define placement_h
@@ -8,36 +8,37 @@
 #include "kv_cache.h"
 
 typedef struct mt_placement_t {
-  mt_engine_t *engine; /* NULL: there is none to be had */
-  int64_t miss;        /* prompt tokens that it probably has to read */
-  double wait_ms;      /* expected until it begins to read this prompt */
-  double first_ms;     /* expected until its first event */
+  mt_engine_t *engine; /* NULL: none is usable */
+  int64_t miss;        /* prompt tokens it probably has to prefill */
+  double wait_ms;      /* expected until it begins to prefill this prompt */
+  double ttft_ms;      /* expected time to first token */
   bool full;           /* all its slots are taken */
-  bool home;           /* every router expects the parts there */
-  mt_kv_fetch_t fetch; /* of parts that the engine does not keep */
+  bool home;           /* it is the fleet's home of the segments */
+  mt_kv_fetch_t fetch; /* KV cache to fetch from another engine */
 } mt_placement_t;
 
 /*
-** The best engine for the request: of those whose owners answered, if any
-** can take it, else of all. Language models: the least expected time to the
-** first event, reading of unkept parts weighed more; else the least used
-** share of slots. Those of the router's own failure domain go before others
-** that are as good.
+** The best engine for the request: of those with quotes, if any can take it,
+** else of all. For a language model this is the engine with the least
+** expected time to first token, with the prefill of uncached tokens weighted
+** more; for another service the one with the lowest fraction of its slots in
+** use. Among equals the local failure domain is preferred.
 */
 mt_placement_t mt_placement_choose (mt_relay_t *relay,
                                     const mt_relay_request_t *request);
 
-/* False when the failure domain was seen too full for the request lately. */
+/* False if recent quotes show the failure domain too full for the request. */
 bool mt_placement_may_have_room (mt_relay_t *relay,
                                  const mt_relay_request_t *request,
                                  const mt_domain_load_t *load);
 
-/* The best of these, as far as this router knows; NULL: none is usable. */
+/* The best of these engines; NULL: none is usable. */
 mt_engine_t *mt_placement_best_of (mt_relay_t *relay,
                                    const mt_relay_request_t *request,
                                    mt_engine_t *const *engines, size_t count);
 
-/* True when the request should go there now rather than be refused. */
+/* True if there is room for the request at the placement's engine; `why` gets
+   the reason otherwise. */
 bool mt_placement_admits (mt_relay_t *relay,
                           const mt_relay_request_t *request,
                           const mt_placement_t *placement,
--- a/src/relay/quarantine.c
+++ b/src/relay/quarantine.c
@@ -21,7 +21,7 @@
                                           mt_suspect_message_kind_t kind,
                                           uint64_t digest) {
   mt_suspect_message_t *msg =
-      &mt_relay_effect(relay, MT_RELAY_DO_TELL)->u.word;
+      &mt_relay_effect(relay, MT_RELAY_DO_SEND_TO_OWNER)->u.message;
   msg->kind = kind;
   msg->digest = digest;
   return msg;
@@ -112,7 +112,7 @@
 
 bool mt_quarantine_timed_out (const mt_relay_t *relay,
                               const mt_relay_request_t *r) {
-  return relay->seen >= r->asked + VERDICT_TIMEOUT_MS;
+  return relay->last_tick >= r->asked + VERDICT_TIMEOUT_MS;
 }
 
 bool mt_quarantine_forbids_retry (const mt_relay_t *relay,
@@ -142,7 +142,7 @@
 void mt_quarantine_run_lost (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_lost_runs_t *lost = &relay->lost;
   const mt_engine_t *e = r->engine;
-  if (e == NULL || !r->gone_out || r->digest == 0) return;
+  if (e == NULL || !r->written || r->digest == 0) return;
   if (!mt_engine_is_available(e, relay->now) || e->unlisted_since != 0)
     return;
   if (lost->count >= LOST_RUNS_MAX) return;
@@ -179,7 +179,7 @@
     mt_lost_run_t *run = &relay->lost.list[i];
     if (run->engine != engine || run->ended) continue;
     run->ended = true;
-    relay->counters.ends++;
+    relay->counters.runs_lost++;
   }
 }
 
--- a/src/relay/quotes.c
+++ b/src/relay/quotes.c
@@ -1,16 +1,16 @@
 /*
-** quotes.c - asks the owners of a few engines before a request is placed
+** quotes.c - asks owners of engines for quotes before a request is placed
 */
 #include "candidates.h"
 #include "domain_load.h"
 #include "quotes.h"
 
-#define WAIT_MS 20      /* for answers of owners */
-#define USUAL_FADE 0.95 /* per answer of a home's owner */
-#define ROUNDS_MOST 2   /* the own failure domain's engines, then others' */
-#define FAR_ASKED 2     /* failure domains, in the second round */
-#define FRESH_MS 250    /* an answer is taken as it is for so long */
-#define FADE_PART 0.2   /* of the difference, per update */
+#define QUOTE_TIMEOUT_MS 20  /* a round's quotes are awaited for this long */
+#define AVG_DECAY 0.95       /* weight of the old average against one quote */
+#define ROUNDS_MAX 2         /* local failure domain, then remote ones */
+#define REMOTE_DOMAINS_MAX 2 /* failure domains asked in the second round */
+#define FRESH_MS 250   /* a quote's load is used unchanged for this long */
+#define DECAY_PART 0.2 /* of the distance to the average, per update */
 
 const mt_relay_candidate_t *mt_quotes_find (const mt_relay_request_t *r,
                                             uint64_t engine) {
@@ -36,10 +36,10 @@
   bool alone = relay->routers < 2;
   if (alone && mt_cold_starts_count(&relay->cold, relay->now) == 0)
     return false;
-  if (r->rounds >= ROUNDS_MOST) return false;
-  if (relay->terms.off[MT_RELAY_QUOTES]) return false;
-  if (r->rounds > 0 && relay->terms.off[MT_RELAY_FAR_ROUND]) return false;
-  int most = r->rounds > 0 ? FAR_ASKED : MT_RELAY_ROUND_MAX;
+  if (r->rounds >= ROUNDS_MAX) return false;
+  if (relay->params.off[MT_RELAY_QUOTES]) return false;
+  if (r->rounds > 0 && relay->params.off[MT_RELAY_FAR_ROUND]) return false;
+  int most = r->rounds > 0 ? REMOTE_DOMAINS_MAX : MT_RELAY_ROUND_MAX;
   for (int i = 0; i < most; i++) {
     const mt_engine_t *e = mt_candidates_next(relay, r);
     if (e == NULL) break;
@@ -51,20 +51,20 @@
   return true;
 }
 
-/* Homes are chosen by a hash, so what is told of them is a fair sample. */
-static void learn_usual (mt_relay_t *relay, const mt_relay_request_t *r,
-                         const mt_engine_load_t *load) {
+/* Called for the first candidate only, mostly a home: homes are chosen by
+   hash, so their load is an unbiased sample. */
+static void update_averages (mt_relay_t *relay, const mt_relay_request_t *r,
+                             const mt_engine_load_t *load) {
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
   double pending_prefill = (double)load->pending_prefill,
          running = load->running;
-  s->usual_unread =
-      s->usual_unread * USUAL_FADE + pending_prefill * (1 - USUAL_FADE);
-  s->usual_running =
-      s->usual_running * USUAL_FADE + running * (1 - USUAL_FADE);
+  s->avg_unread =
+      s->avg_unread * AVG_DECAY + pending_prefill * (1 - AVG_DECAY);
+  s->avg_running = s->avg_running * AVG_DECAY + running * (1 - AVG_DECAY);
 }
 
-bool mt_quotes_take (mt_relay_t *relay, mt_relay_request_t *r,
-                     const mt_relay_quote_t *quotes, size_t count) {
+bool mt_quotes_receive (mt_relay_t *relay, mt_relay_request_t *r,
+                        const mt_relay_quote_t *quotes, size_t count) {
   for (size_t i = 0; i < count; i++) {
     const mt_relay_quote_t *quote = &quotes[i];
     mt_engine_t *e = mt_engines_get(&relay->engines, quote->engine);
@@ -73,7 +73,7 @@
       e->quoted = relay->now;
       if (e->remote) mt_domain_loads_learn(relay, e, &quote->peers);
       if (quote->admission == MT_ADMIT_WARM)
-        mt_cold_starts_note(&relay->cold, e->key, relay->now, relay->now);
+        mt_cold_starts_set(&relay->cold, e->key, relay->now, relay->now);
     }
     for (size_t k = 0; k < r->candidates_count; k++) {
       mt_relay_candidate_t *candidate = &r->candidates[k];
@@ -83,7 +83,7 @@
       candidate->holder = quote->holder;
       candidate->admission = quote->admission;
       relay->counters.admissions[quote->admission]++;
-      if (k == 0) learn_usual(relay, r, &quote->peers);
+      if (k == 0) update_averages(relay, r, &quote->peers);
     }
   }
   for (size_t k = r->round_first; k < r->candidates_count; k++)
@@ -93,10 +93,10 @@
 
 bool mt_quotes_overdue (const mt_relay_t *relay,
                         const mt_relay_request_t *r) {
-  return relay->seen >= r->asked + WAIT_MS;
+  return relay->last_tick >= r->asked + QUOTE_TIMEOUT_MS;
 }
 
-void mt_quotes_fade (mt_relay_t *relay) {
+void mt_quotes_decay (mt_relay_t *relay) {
   for (size_t i = 0; i < relay->engines.count; i++) {
     mt_engine_t *e = relay->engines.list[i];
     if (e->quoted == 0 || relay->now - e->quoted < FRESH_MS) continue;
@@ -104,7 +104,7 @@
     double pending_prefill = (double)e->peers.pending_prefill;
     double running = e->peers.running;
     e->peers.pending_prefill +=
-        (int64_t)((s->usual_unread - pending_prefill) * FADE_PART);
-    e->peers.running += (int32_t)((s->usual_running - running) * FADE_PART);
+        (int64_t)((s->avg_unread - pending_prefill) * DECAY_PART);
+    e->peers.running += (int32_t)((s->avg_running - running) * DECAY_PART);
   }
 }
--- a/src/relay/quotes.h
+++ b/src/relay/quotes.h
@@ -1,10 +1,10 @@
 /*
-** quotes.h - asks the owners of a few engines before a request is placed
+** quotes.h - asks owners of engines for quotes before a request is placed
 **
-** Each engine has one router that keeps its book (load_book.h). A request for
-** a language model asks the owners of a few engines that suit it, and is
-** placed by their answers; without answers in time it is placed by what this
-** router believes by itself.
+** The owner of an engine is the router that adds up what all routers have
+** there (load_book.h). A router asks the owners of a few engines that suit a
+** request and places it by their quotes; without quotes in time it places the
+** request by what it knows itself.
 */
 #ifndef quotes_h
 #define quotes_h
@@ -12,29 +12,30 @@
 #include "relay.h"
 
 /*
-** Chooses the engines to ask next: mostly those of the own failure domain,
-** and those of others when these have no room. False when nobody is to be
-** asked: there is no other router and no cold engine, or no further engine
+** Starts a round: chooses the engines to ask about, in the first round in the
+** local failure domain, in the second in remote ones. False if nobody is to
+** be asked: there is no other router and no cold engine, or no further engine
 ** or round.
 */
 bool mt_quotes_ask (mt_relay_t *relay, mt_relay_request_t *request);
 
-/* Takes answers; true when all engines of the round have been told. */
-bool mt_quotes_take (mt_relay_t *relay, mt_relay_request_t *request,
-                     const mt_relay_quote_t *quotes, size_t count);
+/* Takes quotes; true if all engines of the round have one now. */
+bool mt_quotes_receive (mt_relay_t *relay, mt_relay_request_t *request,
+                        const mt_relay_quote_t *quotes, size_t count);
 
-/* True when the answers that are still missing are not awaited any more. */
+/* True if the round has timed out. */
 bool mt_quotes_overdue (const mt_relay_t *relay,
                         const mt_relay_request_t *request);
 
-/* What the request was told of this engine, or NULL. */
+/* The request's candidate for this engine, or NULL. */
 const mt_relay_candidate_t *mt_quotes_find (const mt_relay_request_t *request,
                                             uint64_t engine);
 
-/* True when any owner answered. */
+/* True if any owner sent a quote. */
 bool mt_quotes_any (const mt_relay_request_t *request);
 
-/* What was told long ago tends to what is usual; some times a second. */
-void mt_quotes_fade (mt_relay_t *relay);
+/* Moves loads from old quotes towards the average of the service; called a
+   few times per second. */
+void mt_quotes_decay (mt_relay_t *relay);
 
 #endif
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -1,28 +1,29 @@
 /*
-** relay.c - the life of relayed requests: one reducer over all events
+** relay.c - the reducer of the HTTP relay: events in, effects out
 */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "admission.h"
-#include "answer.h"
+#include "response.h"
 #include "candidates.h"
 #include "quarantine.h"
 #include "quotes.h"
 #include "relay_load.h"
 #include "request.h"
-#include "silence.h"
+#include "response_timeout.h"
 
-#define UPDATE_MS 100 /* between updates of shares */
-#define MADE_WEIGHT 2 /* of a token made, beside one that is read */
-/* After the order to stop, long streams are refused. */
-#define LEAVE_MS 2000
+#define UPDATE_MS 100   /* between updates of fair shares and engines */
+#define OUTPUT_WEIGHT 2 /* cost of a completion token; a prompt token: 1 */
+/* After STOP, streams are taken for this long: the balancer may still send
+   callers. */
+#define STREAM_GRACE_MS 2000
 
-/* {== Callers' events ================================================== */
+/* {== Requests and quotes ============================================== */
 
-/* What a service of the split weighs; nothing where others say that the
-   route no longer leads there. */
+/* Weight of a service in the route's split; 0 if other routers know of a
+   newer configuration where the route no longer leads to it. */
 static int weight_of (const mt_relay_t *relay,
                       const mt_catalog_route_t *route, int i) {
   mt_id_t service = route->split[i].service;
@@ -30,7 +31,7 @@
   return route->split[i].weight;
 }
 
-/* The service of the split that the id falls to; 0: none is left. */
+/* The service of the split that the request id hashes to; 0: none is left. */
 static mt_id_t choose_service (const mt_relay_t *relay,
                                const mt_catalog_route_t *route,
                                mt_bytes_t id) {
@@ -49,141 +50,152 @@
   return 0;
 }
 
-static void take_route (const mt_relay_t *relay, mt_relay_request_t *r,
+static void copy_route (const mt_relay_t *relay, mt_relay_request_t *r,
                         const mt_catalog_route_t *route,
-                        const mt_relay_ask_t *ask) {
+                        const mt_relay_incoming_t *incoming) {
   r->kind = route->kind;
   r->resumable = route->kind == MT_ROUTE_STREAM && route->resumable;
   r->repeatable = route->kind == MT_ROUTE_REPEATABLE || r->resumable;
   r->attempts_max = route->attempts;
   r->route = route->id;
-  r->service = choose_service(relay, route, ask->id);
+  r->service = choose_service(relay, route, incoming->id);
   r->objective = route->objective;
   r->pause = route->pause;
   r->expires =
       r->arrived + (route->timeout ? route->timeout : MT_WAIT_MAX_MS);
-  if (ask->deadline_ms >= 0)
-    r->expires = mt_min(r->expires, r->arrived + (mt_ms_t)ask->deadline_ms);
-}
-
-static void take_prompt (mt_relay_request_t *r, const mt_relay_ask_t *ask) {
-  r->tokens_in = ask->tokens_in;
-  r->tokens_out = ask->tokens_out;
-  r->last_event = ask->last_event;
-  r->parts_count = ask->parts_count;
-  memcpy(r->parts, ask->parts, ask->parts_count * sizeof *r->parts);
-  int64_t out = ask->tokens_hint > 0 ? ask->tokens_hint : ask->tokens_out;
-  if (ask->tokens_out > 0) out = mt_min(out, ask->tokens_out);
-  r->cost = mt_max(ask->tokens_in + MADE_WEIGHT * out, 1);
-}
-
-/* Others know declarations that do not allow it any more. */
+  if (incoming->deadline_ms >= 0)
+    r->expires =
+        mt_min(r->expires, r->arrived + (mt_ms_t)incoming->deadline_ms);
+}
+
+static void copy_prompt (mt_relay_request_t *r,
+                         const mt_relay_incoming_t *incoming) {
+  r->tokens_in = incoming->tokens_in;
+  r->tokens_out = incoming->tokens_out;
+  r->last_event = incoming->last_event;
+  r->parts_count = incoming->parts_count;
+  memcpy(r->parts, incoming->parts, incoming->parts_count * sizeof *r->parts);
+  int64_t out = incoming->tokens_hint > 0 ? incoming->tokens_hint
+                                          : incoming->tokens_out;
+  if (incoming->tokens_out > 0) out = mt_min(out, incoming->tokens_out);
+  r->cost = mt_max(incoming->tokens_in + OUTPUT_WEIGHT * out, 1);
+}
+
+/* True if other routers know of a newer configuration that revoked the key or
+   the route's services. */
 static bool is_denied (const mt_relay_t *relay, const mt_relay_request_t *r,
                        const mt_catalog_route_t *route,
-                       const mt_relay_ask_t *ask) {
+                       const mt_relay_incoming_t *incoming) {
   if (r->service == 0 && relay->denials.routes_count > 0 && route->splits > 0)
     return true;
-  return mt_denials_has_key(&relay->denials, ask->key);
+  return mt_denials_has_key(&relay->denials, incoming->key);
 }
 
-/* Finds route and workspace; false when the request was refused. */
-static bool identify (mt_relay_t *relay, mt_relay_request_t *r,
-                      const mt_relay_ask_t *ask) {
+/* Finds route and workspace; false if the request was refused. */
+static bool resolve (mt_relay_t *relay, mt_relay_request_t *r,
+                     const mt_relay_incoming_t *incoming) {
   mt_catalog_t *c = relay->catalog;
   if (c == NULL) {
     mt_request_refuse(relay, r, MT_RELAY_NO_CATALOG);
     return false;
   }
   const mt_catalog_route_t *route =
-      mt_catalog_find_route(c, ask->host, ask->path);
+      mt_catalog_find_route(c, incoming->host, incoming->path);
   if (route == NULL) {
     mt_request_refuse(relay, r,
-                      relay->unsure ? MT_RELAY_UNSURE : MT_RELAY_NO_ROUTE);
+                      relay->config_maybe_stale ? MT_RELAY_CONFIG_MAYBE_STALE
+                                                : MT_RELAY_NO_ROUTE);
     return false;
   }
-  take_route(relay, r, route, ask);
-  if (is_denied(relay, r, route, ask)) {
-    mt_request_refuse(relay, r, MT_RELAY_UNSURE);
+  copy_route(relay, r, route, incoming);
+  if (is_denied(relay, r, route, incoming)) {
+    mt_request_refuse(relay, r, MT_RELAY_CONFIG_MAYBE_STALE);
     return false;
   }
-  if (c->workspaces_count == 0 || (route->open && ask->key.n == 0))
+  if (c->workspaces_count == 0 || (route->open && incoming->key.n == 0))
     return true;
-  const mt_catalog_workspace_t *w = mt_catalog_find_workspace(c, ask->key);
+  const mt_catalog_workspace_t *w =
+      mt_catalog_find_workspace(c, incoming->key);
   if (w != NULL) {
     r->workspace = w->id;
     return true;
   }
   if (route->open) return true;
   mt_request_refuse(relay, r,
-                    relay->unsure ? MT_RELAY_UNSURE : MT_RELAY_BAD_KEY);
+                    relay->config_maybe_stale ? MT_RELAY_CONFIG_MAYBE_STALE
+                                              : MT_RELAY_BAD_KEY);
   return false;
 }
 
 /*
-** A router that is to stop takes streams only while the balancer may still
-** send callers, and other requests only if they can end in time.
+** A stopping router takes streams only while the balancer may still send
+** callers, and other requests only if they expire before it exits.
 */
-static bool too_late (const mt_relay_t *relay, const mt_relay_request_t *r) {
+static bool is_too_late_to_start (const mt_relay_t *relay,
+                                  const mt_relay_request_t *r) {
   if (relay->stop_since == 0) return false;
   if (r->kind == MT_ROUTE_STREAM)
-    return relay->now - relay->stop_since > LEAVE_MS;
+    return relay->now - relay->stop_since > STREAM_GRACE_MS;
   return r->expires > relay->stop_until;
 }
 
-/* Asks the owners of the next engines; false when there are none to ask. */
-static bool ask_owners (mt_relay_t *relay, mt_relay_request_t *r) {
+/* Starts a round of quotes; false if there is nobody to ask. */
+static bool request_quotes (mt_relay_t *relay, mt_relay_request_t *r) {
   if (!mt_quotes_ask(relay, r)) return false;
-  r->phase = MT_RELAY_ASKING;
+  r->phase = MT_RELAY_AWAITING_QUOTES;
   relay->counters.quotes_asked++;
-  mt_request_effect(relay, MT_RELAY_DO_ASK, r);
+  mt_request_effect(relay, MT_RELAY_DO_GET_QUOTES, r);
   return true;
 }
 
 /*
-** A request without a prompt is never refused for want of room. It stays in
-** the own failure domain unless it would wait for a slot there, or the engine
-** has just failed another.
+** True if remote failure domains should be asked about a request without a
+** prompt. Such a request is never refused for want of room; it stays in the
+** local failure domain unless it would wait for a slot there, or the engine's
+** last request failed.
 */
-static bool leaves_for_better (const mt_relay_request_t *r,
-                               const mt_placement_t *p) {
+static bool should_leave_domain (const mt_relay_request_t *r,
+                                 const mt_placement_t *p) {
   if (r->parts_count > 0 || p->engine->remote) return false;
   return p->full || p->engine->failures > 0;
 }
 
-/* False when it can't go there, or nowhere, and why. */
+/* False, with the reason, if there is no engine or no room at it. */
 static bool admits (mt_relay_t *relay, const mt_relay_request_t *r,
                     const mt_placement_t *p, mt_relay_refusal_t *why) {
   if (p->engine != NULL) return mt_placement_admits(relay, r, p, why);
-  *why = mt_request_lack(relay, r);
+  *why = mt_request_no_engine_reason(relay, r);
   return false;
 }
 
-/* Sends the request to the best engine or refuses it. */
+/* Sends the request to the best engine, asks another round of owners, or
+   refuses it. */
 static void place (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_relay_refusal_t why;
   mt_placement_t p = mt_placement_choose(relay, r);
   r->wait_expected = p.wait_ms;
   if (admits(relay, r, &p, &why)) {
-    if (leaves_for_better(r, &p) && ask_owners(relay, r)) return;
+    if (should_leave_domain(r, &p) && request_quotes(relay, r)) return;
     mt_attempt_start(relay, r, &p);
     return;
   }
-  if (!ask_owners(relay, r)) mt_request_refuse(relay, r, why);
+  if (!request_quotes(relay, r)) mt_request_refuse(relay, r, why);
 }
 
-/* Looks for an engine. */
-static void seek (mt_relay_t *relay, mt_relay_request_t *r) {
+/* Asks for quotes, or places the request at once if nobody is to be asked. */
+static void find_engine (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_candidates_find_homes(relay, r);
-  if (ask_owners(relay, r)) return;
-  r->rounds = mt_max(r->rounds, 1); /* there is nobody to ask here */
-  if (!ask_owners(relay, r)) place(relay, r);
+  if (request_quotes(relay, r)) return;
+  r->rounds = mt_max(r->rounds, 1); /* none in the local domain */
+  if (!request_quotes(relay, r)) place(relay, r);
 }
 
-/* What engines ended under is refused, or runs one copy at a time. */
-static void pass_gate (mt_relay_t *relay, mt_relay_request_t *r) {
+/* Requests that may have crashed engines are refused, or run one copy at a
+   time. */
+static void check_quarantine (mt_relay_t *relay, mt_relay_request_t *r) {
   switch (mt_quarantine_check(relay, r)) {
-    case MT_QUARANTINE_PASS: seek(relay, r); break;
-    case MT_QUARANTINE_ASK: r->phase = MT_RELAY_TRYING; break;
+    case MT_QUARANTINE_PASS: find_engine(relay, r); break;
+    case MT_QUARANTINE_ASK: r->phase = MT_RELAY_AWAITING_TRIAL; break;
     case MT_QUARANTINE_BUSY:
       mt_request_refuse(relay, r, MT_RELAY_NO_ENGINE);
       break;
@@ -194,33 +206,36 @@
 }
 
 static void on_request (mt_relay_t *relay, uint64_t number,
-                        const mt_relay_ask_t *ask) {
+                        const mt_relay_incoming_t *incoming) {
   mt_relay_request_t *r = mt_request_add(relay, number);
   relay->counters.requests++;
-  snprintf(r->id, sizeof r->id, "%.*s", (int)ask->id.n, ask->id.p);
-  if (!identify(relay, r, ask)) return;
-  take_prompt(r, ask);
-  if (ask->digest != 0) r->digest = mtV_mix(ask->digest, r->workspace) | 1;
-  if (too_late(relay, r)) {
+  snprintf(r->id, sizeof r->id, "%.*s", (int)incoming->id.n, incoming->id.p);
+  if (!resolve(relay, r, incoming)) return;
+  copy_prompt(r, incoming);
+  if (incoming->digest != 0)
+    r->digest = mtV_mix(incoming->digest, r->workspace) | 1;
+  if (is_too_late_to_start(relay, r)) {
     mt_request_refuse(relay, r, MT_RELAY_STOPPING);
     return;
   }
   bool stream = r->kind == MT_ROUTE_STREAM;
-  if (relay->count > relay->terms.running_most ||
+  if (relay->count > relay->params.max_running ||
       (stream && relay->overloaded)) {
     mt_request_refuse(relay, r, MT_RELAY_FULL);
     return;
   }
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
-  mt_retry_budget_request(&s->budget, &relay->terms.retry, relay->now);
+  mt_retry_budget_request(&s->budget, &relay->params.retry, relay->now);
   if (r->workspace != 0 && r->parts_count > 0)
     mt_fair_share_record_demand(&relay->shares, r->workspace, r->cost);
   if (r->workspace != 0)
-    r->standing = mt_fair_share_service_ratio(&relay->shares, r->workspace);
-  pass_gate(relay, r);
+    r->service_ratio =
+        mt_fair_share_service_ratio(&relay->shares, r->workspace);
+  check_quarantine(relay, r);
 }
 
-/* All leases are there: it runs at the engine that was chosen, or not. */
+/* All leases are granted: sends the suspect request to the engine chosen for
+   it, or refuses it. */
 static void start_trial (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_relay_refusal_t why;
   mt_placement_t p = mt_placement_choose(relay, r);
@@ -230,18 +245,18 @@
     mt_request_refuse(relay, r, why);
 }
 
-/* Owners answer to a suspect. */
-static void on_tried (mt_relay_t *relay, mt_relay_request_t *r,
-                      const mt_suspect_message_t *word,
-                      mt_trial_verdict_t verdict) {
+/* An owner's reply to a suspect request that asked to run. */
+static void on_trial_answered (mt_relay_t *relay, mt_relay_request_t *r,
+                               const mt_suspect_message_t *message,
+                               mt_trial_verdict_t verdict) {
   relay->counters.trials[verdict]++;
-  switch (mt_quarantine_on_verdict(relay, r, word, verdict)) {
+  switch (mt_quarantine_on_verdict(relay, r, message, verdict)) {
     case MT_QUARANTINE_PASS:
       r->phase = MT_RELAY_SENT;
       if (r->on_trial)
         start_trial(relay, r);
       else
-        seek(relay, r);
+        find_engine(relay, r);
       break;
     case MT_QUARANTINE_ASK: break;
     case MT_QUARANTINE_BUSY:
@@ -255,33 +270,35 @@
 
 static void on_quoted (mt_relay_t *relay, mt_relay_request_t *r,
                        const mt_relay_event_t *ev) {
-  bool all = mt_quotes_take(relay, r, ev->u.quotes.list, ev->u.quotes.count);
-  if (r->phase != MT_RELAY_ASKING) /* it is placed: too late */
-    mt_admission_give_back(relay, r);
+  bool all =
+      mt_quotes_receive(relay, r, ev->u.quotes.list, ev->u.quotes.count);
+  if (r->phase != MT_RELAY_AWAITING_QUOTES) /* already placed */
+    mt_admission_return_permits(relay, r);
   else if (all)
     place(relay, r);
 }
 
-static void on_caller_left (mt_relay_t *relay, mt_relay_request_t *r) {
-  if (r->awaiting_event) mt_request_take_back(relay, r);
-  mt_admission_give_back(relay, r);
+static void on_caller_disconnected (mt_relay_t *relay,
+                                    mt_relay_request_t *r) {
+  if (r->awaiting_event) mt_request_refund(relay, r);
+  mt_admission_return_permits(relay, r);
   mt_attempt_cancel(relay, r);
-  relay->counters.callers_left++;
-  mt_request_note(relay, r, "left", "caller");
+  relay->counters.callers_disconnected++;
+  mt_request_log(relay, r, "left", "caller");
   mt_request_remove(relay, r);
 }
 
 /* }== */
 
-/* {== Engines that start again ========================================= */
+/* {== Engines that restart ============================================= */
 
-/* A connection that went silent with the machine says nothing of it. */
+/* The connection may still look open, if the whole machine went down. */
 static void lose_run (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_request_effect(relay, MT_RELAY_DO_CANCEL, r);
   mt_attempt_lost(relay, r, MT_RELAY_RETRY_LOST);
 }
 
-/* What runs at the earlier start is lost with it. */
+/* Requests that ran in the previous process of the engine are lost. */
 static void on_restarted (mt_relay_t *relay, uint64_t key) {
   mt_engine_t *e = mt_engines_get(&relay->engines, key);
   if (e == NULL) return;
@@ -290,22 +307,22 @@
       lose_run(relay, relay->list[i]);
   mt_quarantine_engine_ended(relay, key);
   mt_quarantine_send_reports(relay);
-  mt_load_table_remove(&relay->book, key);
+  mt_load_table_remove(&relay->router_loads, key);
   mt_prefix_holders_remove_engine(&relay->holders, key);
   mt_engine_restarted(e);
 }
 
 /* }== */
 
-/* {== What engines say of themselves =================================== */
+/* {== Drains and backoffs that engines advertise ======================= */
 
-/* What still waits for a connection to the engine goes elsewhere: it was
-   chosen before the engine said so. */
+/* Requests of which nothing was written to the engine yet are retried
+   elsewhere: they were placed before it advertised that it takes no work. */
 static void withdraw_unsent (mt_relay_t *relay, const mt_engine_t *e) {
   for (size_t i = relay->count; i-- > 0;) {
     if (i >= relay->count) continue;
     mt_relay_request_t *r = relay->list[i];
-    if (r->engine != e || r->gone_out) continue;
+    if (r->engine != e || r->written) continue;
     mt_request_effect(relay, MT_RELAY_DO_CANCEL, r);
     mt_attempt_failed(relay, r, MT_RELAY_RETRY_NOTICE, false);
   }
@@ -313,22 +330,22 @@
 
 static void on_notice (mt_relay_t *relay, const mt_relay_event_t *ev) {
   mt_engine_t *e = mt_engines_get(&relay->engines, ev->u.notice.engine);
-  const mt_engine_notice_t *says = &ev->u.notice.says;
+  const mt_engine_notice_t *advertises = &ev->u.notice.advertises;
   if (e == NULL) {
-    if (says->draining && ev->u.notice.drain.gossiped)
+    if (advertises->draining && ev->u.notice.drain.gossiped)
       mt_early_drains_add(&relay->early_drains, ev->u.notice.engine,
                           &ev->u.notice.drain);
     return;
   }
-  if (says->draining &&
+  if (advertises->draining &&
       mt_engine_apply_drain(e, &ev->u.notice.drain, relay->now)) {
     uint64_t *counter = ev->u.notice.drain.gossiped
-                            ? &relay->counters.drains_heard
+                            ? &relay->counters.drains_gossiped
                             : &relay->counters.drains;
     (*counter)++;
     withdraw_unsent(relay, e);
   }
-  if (mt_engine_set_backoff(e, says->backoff, relay->now)) {
+  if (mt_engine_set_backoff(e, advertises->backoff, relay->now)) {
     relay->counters.backoffs++;
     withdraw_unsent(relay, e);
   }
@@ -340,39 +357,40 @@
 
 static void check_request (mt_relay_t *relay, mt_relay_request_t *r) {
   if (relay->now >= r->expires) {
-    bool ran = r->may_have_run || r->gone_out;
+    bool ran = r->may_have_run || r->written;
     mt_request_give_up(relay, r,
-                       ran ? MT_RELAY_TIMEOUT : MT_RELAY_TIMEOUT_UNRUN);
+                       ran ? MT_RELAY_TIMEOUT : MT_RELAY_TIMEOUT_NOT_RUN);
     return;
   }
-  if (r->phase == MT_RELAY_ASKING) {
+  if (r->phase == MT_RELAY_AWAITING_QUOTES) {
     if (!mt_quotes_overdue(relay, r)) return;
     relay->counters.quotes_late++;
     place(relay, r);
     return;
   }
-  if (r->phase == MT_RELAY_TRYING && mt_quarantine_timed_out(relay, r)) {
+  if (r->phase == MT_RELAY_AWAITING_TRIAL &&
+      mt_quarantine_timed_out(relay, r)) {
     mt_request_refuse(relay, r, MT_RELAY_ON_PROBATION);
     return;
   }
-  if (r->engine == NULL || !mt_silence_is_too_long(relay, r)) return;
-  if (!mt_attempt_may_follow(relay, r, r->gone_out)) return;
+  if (r->engine == NULL || !mt_response_overdue(relay, r)) return;
+  if (!mt_attempt_may_retry(relay, r, r->written)) return;
   mt_engine_t *e = r->engine;
   mt_placement_t other = mt_placement_choose(relay, r);
   if (other.engine == NULL) return;
   mt_attempt_cancel(relay, r);
   mt_engine_failed(e, relay->now);
-  mt_attempt_failed(relay, r, MT_RELAY_RETRY_SILENT, r->gone_out);
+  mt_attempt_failed(relay, r, MT_RELAY_RETRY_SILENT, r->written);
 }
 
-/* What the engines give together by the operators' word, tokens a second. */
+/* Declared capacity of all engines together, tokens per second; 0: none. */
 static double declared_tokens (const mt_relay_t *relay) {
-  if (relay->terms.off[MT_RELAY_DECLARED_LEVEL]) return 0;
+  if (relay->params.off[MT_RELAY_DECLARED_LEVEL]) return 0;
   return relay->catalog ? (double)relay->catalog->limits.tokens_per_s : 0;
 }
 
-/* That a connection comes up does not excuse an engine that fails requests,
-   only one that was out of reach. */
+/* A connection that opens clears the failures of an engine that was
+   unreachable, not those of one that failed requests. */
 static void on_probed (mt_relay_t *relay, uint64_t key, bool up,
                        bool refused) {
   mt_engine_t *e = mt_engines_get(&relay->engines, key);
@@ -388,14 +406,14 @@
 static void on_tick (mt_relay_t *relay) {
   for (size_t i = relay->count; i-- > 0;)
     if (i < relay->count) check_request(relay, relay->list[i]);
-  relay->seen = relay->now;
+  relay->last_tick = relay->now;
   mt_relay_probe_engines(relay);
   mt_quarantine_tick(relay);
   if (relay->now < relay->next_update) return;
   relay->next_update = relay->now + UPDATE_MS;
   mt_fair_share_update(&relay->shares, declared_tokens(relay), relay->now);
   mt_relay_update_engines(relay);
-  mt_load_table_expire(&relay->book, relay->now);
+  mt_load_table_expire(&relay->router_loads, relay->now);
   mt_prefix_holders_expire(&relay->holders, relay->now);
   mt_cold_starts_expire(&relay->cold, relay->now);
 }
@@ -406,13 +424,14 @@
 
 static void on_attempt_event (mt_relay_t *relay, mt_relay_request_t *r,
                               const mt_relay_event_t *ev) {
-  if (r->engine == NULL || ev->attempt != r->attempt) return; /* too late */
+  if (r->engine == NULL || ev->attempt != r->attempt)
+    return; /* of an earlier one */
   switch (ev->kind) {
-    case MT_RELAY_GONE_OUT: r->gone_out = true; break;
-    case MT_RELAY_HEAD: mt_answer_head(relay, r, ev); break;
-    case MT_RELAY_DATA: mt_answer_data(relay, r, ev->u.data); break;
-    case MT_RELAY_FAILED: mt_answer_failed(relay, r, ev->u.not_sent); break;
-    case MT_RELAY_END: mt_answer_end(relay, r); break;
+    case MT_RELAY_WRITTEN: r->written = true; break;
+    case MT_RELAY_HEAD: mt_response_head(relay, r, ev); break;
+    case MT_RELAY_DATA: mt_response_data(relay, r, ev->u.data); break;
+    case MT_RELAY_FAILED: mt_response_failed(relay, r, ev->u.not_sent); break;
+    case MT_RELAY_END: mt_response_end(relay, r); break;
     default: break;
   }
 }
@@ -431,17 +450,17 @@
       relay->stop_until = relay->now + ev->u.stop_ms;
       break;
     case MT_RELAY_REQUEST: on_request(relay, ev->request, ev->u.ask); break;
-    case MT_RELAY_CALLER_LEFT:
-      if (r != NULL) on_caller_left(relay, r);
+    case MT_RELAY_CALLER_DISCONNECTED:
+      if (r != NULL) on_caller_disconnected(relay, r);
       break;
     case MT_RELAY_QUOTED:
       if (r != NULL) on_quoted(relay, r, ev);
       break;
-    case MT_RELAY_TRIED:
-      if (r != NULL && r->phase == MT_RELAY_TRYING)
-        on_tried(relay, r, ev->u.tried.word, ev->u.tried.verdict);
+    case MT_RELAY_TRIAL_ANSWERED:
+      if (r != NULL && r->phase == MT_RELAY_AWAITING_TRIAL)
+        on_trial_answered(relay, r, ev->u.tried.message, ev->u.tried.verdict);
       else if (ev->u.tried.verdict == MT_TRIAL_GRANTED)
-        mt_quarantine_return_lease(relay, ev->u.tried.word);
+        mt_quarantine_return_lease(relay, ev->u.tried.message);
       break;
     case MT_RELAY_RESTARTED: on_restarted(relay, ev->u.restarted); break;
     case MT_RELAY_NOTICE: on_notice(relay, ev); break;
@@ -449,7 +468,7 @@
       on_probed(relay, ev->u.probed.engine, ev->u.probed.up,
                 ev->u.probed.refused);
       break;
-    case MT_RELAY_GONE_OUT:
+    case MT_RELAY_WRITTEN:
     case MT_RELAY_HEAD:
     case MT_RELAY_DATA:
     case MT_RELAY_END:
@@ -460,18 +479,18 @@
   relay->effects = NULL;
 }
 
-void mt_relay_engine_left (mt_relay_t *relay, mt_engine_t *e, mt_ms_t since,
-                           mt_ms_t now) {
+void mt_relay_engine_unlisted (mt_relay_t *relay, mt_engine_t *e,
+                               mt_ms_t since, mt_ms_t now) {
   relay->now = mt_max(relay->now, now);
-  bool serves_on = now - since < relay->terms.vanish_ms;
+  bool in_grace_period = now - since < relay->params.unlisted_grace_ms;
   mt_quarantine_engine_ended(relay, e->key);
-  if (e->state == MT_ENGINE_READY && serves_on)
+  if (e->state == MT_ENGINE_READY && in_grace_period)
     e->unlisted_since = e->unlisted_since ? e->unlisted_since : since;
   else
     mt_relay_engine_gone(relay, e);
 }
 
-bool mt_relay_declare (mt_relay_t *relay, mt_catalog_t *catalog) {
+bool mt_relay_set_catalog (mt_relay_t *relay, mt_catalog_t *catalog) {
   if (relay->catalog && catalog->version <= relay->catalog->version) {
     mt_catalog_free(catalog);
     return false;
@@ -481,10 +500,11 @@
   return true;
 }
 
-mt_relay_t *mt_relay_new (const char *domain, const mt_relay_terms_t *terms) {
+mt_relay_t *mt_relay_new (const char *domain,
+                          const mt_relay_params_t *params) {
   mt_relay_t *relay = mtV_new(sizeof *relay);
   snprintf(relay->domain, sizeof relay->domain, "%s", domain);
-  relay->terms = *terms;
+  relay->params = *params;
   relay->routers = 1;
   relay->reach = 1;
   return relay;
@@ -498,7 +518,7 @@
   mtV_free(&relay->requests);
   mtV_each (&relay->services, i) free(relay->services.vals[i]);
   mtV_free(&relay->services);
-  mt_load_table_free(&relay->book);
+  mt_load_table_free(&relay->router_loads);
   mt_prefix_holders_free(&relay->holders);
   mt_cold_starts_free(&relay->cold);
   mt_fair_share_free(&relay->shares);
--- a/src/relay/relay_load.c
+++ b/src/relay/relay_load.c
@@ -1,5 +1,6 @@
 /*
-** relay_load.c - what requests mean to engines: load, speed, kept parts
+** relay_load.c - load, prefill speed, cached segments and reachability of
+** engines
 */
 #include <math.h>
 #include <stdio.h>
@@ -10,13 +11,16 @@
 #include "quotes.h"
 #include "relay_load.h"
 
-#define RATE_UNKNOWN 20.0 /* tokens per ms before anything is known */
-#define SLOWNESS_FADE 0.9
-#define SLOWNESS_LEAST 0.7
-#define SLOWNESS_MOST 8.0
-#define SLOWNESS_REST 0.998  /* per update, back towards 1 */
-#define UNPROBED_REST_MS 800 /* of unreachable engines without probes */
-#define FORGET_MS 10000 /* what a gone engine kept is remembered so long */
+/* Prefill tokens per ms, if nothing is declared. */
+#define DEFAULT_RATE 20.0
+/* Slowness of an engine: measured over expected time to first token. */
+#define SLOWNESS_DECAY 0.9 /* weight of the old value against a sample */
+#define SLOWNESS_MIN 0.7
+#define SLOWNESS_MAX 8.0
+#define SLOWNESS_RECOVERY 0.998 /* of the distance to 1 left per update */
+/* Without probes an unreachable engine gets no request for this long. */
+#define UNPROBED_WAIT_MS 800
+#define FORGET_MS 10000 /* gone engines are removed after this */
 
 /* {== Services ========================================================= */
 
@@ -29,47 +33,47 @@
   return s;
 }
 
-/* What the operators declared that one engine reads, or a guess. */
+/* Declared prefill rate of one engine, or a default, in tokens per ms. */
 static double declared_rate (const mt_relay_t *relay,
                              const mt_relay_service_t *s) {
   int64_t total = relay->catalog ? relay->catalog->limits.tokens_per_s : 0;
-  if (total <= 0 || s->ready == 0) return RATE_UNKNOWN;
+  if (total <= 0 || s->ready == 0) return DEFAULT_RATE;
   return (double)total / 1000.0 / s->ready;
 }
 
-mt_prefill_model_t mt_relay_read_line (mt_relay_t *relay, mt_id_t service) {
+mt_prefill_model_t mt_relay_prefill_time (mt_relay_t *relay,
+                                          mt_id_t service) {
   mt_relay_service_t *s = mt_relay_service(relay, service);
   double declared = declared_rate(relay, s);
-  if (relay->terms.off[MT_RELAY_FIXED_PART])
+  if (relay->params.off[MT_RELAY_FIXED_PART])
     return mt_prefill_time_fit_ratio(&s->read_time, declared);
   return mt_prefill_time_fit(&s->read_time, declared);
 }
 
-double mt_relay_rate (mt_relay_t *relay, mt_id_t service) {
-  return 1 / mt_relay_read_line(relay, service).ms_per_token;
+double mt_relay_prefill_rate (mt_relay_t *relay, mt_id_t service) {
+  return 1 / mt_relay_prefill_time(relay, service).ms_per_token;
 }
 
-/* A prompt was read: learns how long that took for the work ahead of it. */
-void mt_relay_learn_rate (mt_relay_t *relay, mt_relay_request_t *r) {
+void mt_relay_learn_prefill (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
   double took = mt_max((double)(relay->now - r->sent), 1.0);
-  mt_prefill_model_t line = mt_relay_read_line(relay, r->service);
+  mt_prefill_model_t line = mt_relay_prefill_time(relay, r->service);
   double expected = line.fixed_ms + (double)r->work_ahead * line.ms_per_token;
   mt_prefill_time_add(&s->read_time, (double)r->work_ahead, took);
   double seen = took / mt_max(expected, 1.0);
-  if (relay->terms.off[MT_RELAY_SLOWNESS]) return;
-  if (expected < (double)r->objective / 8) return; /* mostly fixed costs */
+  if (relay->params.off[MT_RELAY_SLOWNESS]) return;
+  if (expected < (double)r->objective / 8) return; /* mostly constant */
   mt_engine_t *e = r->engine;
-  e->slowness = e->slowness * SLOWNESS_FADE + seen * (1 - SLOWNESS_FADE);
-  e->slowness = fmin(fmax(e->slowness, SLOWNESS_LEAST), SLOWNESS_MOST);
+  e->slowness = e->slowness * SLOWNESS_DECAY + seen * (1 - SLOWNESS_DECAY);
+  e->slowness = fmin(fmax(e->slowness, SLOWNESS_MIN), SLOWNESS_MAX);
 }
 
 /* }== */
 
 /* {== Load at engines ================================================== */
 
-void mt_relay_engage (mt_relay_t *relay, mt_relay_request_t *r,
-                      const mt_placement_t *p) {
+void mt_relay_add_load (mt_relay_t *relay, mt_relay_request_t *r,
+                        const mt_placement_t *p) {
   mt_engine_t *e = p->engine;
   const mt_catalog_service_t *s =
       mt_catalog_find_service(relay->catalog, r->service);
@@ -85,7 +89,7 @@
   r->work_ahead =
       e->local.pending_prefill + e->peers.pending_prefill + p->miss;
   r->wait_expected = p->wait_ms;
-  r->first_expected = p->first_ms;
+  r->ttft_expected = p->ttft_ms;
   e->local.running++;
   e->local.pending_prefill += r->pending_prefill;
   e->local.held += r->held;
@@ -103,16 +107,16 @@
   if (relay->log_engine != NULL) relay->log_engine(relay->log_ud, e);
 }
 
-void mt_relay_prompt_read (mt_relay_request_t *r) {
+void mt_relay_prefill_done (mt_relay_request_t *r) {
   if (r->engine == NULL || !r->awaiting_event) return;
   r->awaiting_event = false;
   r->engine->local.pending_prefill -= r->pending_prefill;
   mt_engine_load_changed(r->engine);
 }
 
-void mt_relay_disengage (mt_relay_request_t *r) {
+void mt_relay_remove_load (mt_relay_request_t *r) {
   if (r->engine == NULL) return;
-  mt_relay_prompt_read(r);
+  mt_relay_prefill_done(r);
   r->engine->local.running--;
   r->engine->local.held -= r->held;
   mt_engine_load_changed(r->engine);
@@ -121,19 +125,19 @@
 
 /* }== */
 
-/* {== Engines over time ================================================ */
+/* {== Periodic updates ================================================= */
 
 void mt_relay_update_engines (mt_relay_t *relay) {
-  mt_quotes_fade(relay);
+  mt_quotes_decay(relay);
   mtV_each (&relay->services, i)
     ((mt_relay_service_t *)relay->services.vals[i])->ready = 0;
   for (size_t i = relay->engines.count; i-- > 0;) {
     mt_engine_t *e = relay->engines.list[i];
-    e->slowness = 1 + (e->slowness - 1) * SLOWNESS_REST;
+    e->slowness = 1 + (e->slowness - 1) * SLOWNESS_RECOVERY;
     if (mt_engine_is_available(e, relay->now))
       mt_relay_service(relay, e->service)->ready++;
     if (e->unlisted_since != 0 && e->state == MT_ENGINE_READY &&
-        relay->now - e->unlisted_since >= relay->terms.vanish_ms)
+        relay->now - e->unlisted_since >= relay->params.unlisted_grace_ms)
       mt_relay_engine_gone(relay, e);
     if (e->state == MT_ENGINE_GONE && e->local.running == 0 &&
         relay->now - e->removed_at > FORGET_MS)
@@ -143,12 +147,12 @@
 
 /* }== */
 
-/* {== Engines out of reach ============================================== */
+/* {== Unreachable engines =============================================== */
 
 /*
-** No request is risked on an engine that could not be reached: each would
-** wait as long for a connection as many want their answer. The router
-** tries itself.
+** No request is sent to an unreachable engine: waiting for the connection
+** could take as long as its whole objective. The router tests the connection
+** without a request.
 */
 static void probe_engines (mt_relay_t *relay) {
   for (size_t i = 0; i < relay->engines.active_count; i++) {
@@ -161,30 +165,33 @@
   }
 }
 
-/* Without probes an unreachable engine rests; then a request tries it. */
-static void end_rests (mt_relay_t *relay) {
+/* Without probes an unreachable engine gets no request for a while; then the
+   next request tests it. */
+static void end_unprobed_waits (mt_relay_t *relay) {
   for (size_t i = 0; i < relay->engines.active_count; i++) {
     mt_engine_t *e = relay->engines.active[i];
-    if (e->probe + UNPROBED_REST_MS <= relay->now) e->unreachable = false;
+    if (e->probe + UNPROBED_WAIT_MS <= relay->now) e->unreachable = false;
   }
 }
 
 void mt_relay_probe_engines (mt_relay_t *relay) {
-  if (relay->terms.off[MT_RELAY_PROBE])
-    end_rests(relay);
+  if (relay->params.off[MT_RELAY_PROBE])
+    end_unprobed_waits(relay);
   else
     probe_engines(relay);
 }
 
 /* }== */
 
-/* {== Books of engines ================================================= */
+/* {== Owned engines ==================================================== */
 
-void mt_relay_heard_load (mt_relay_t *relay, uint64_t engine,
-                          const mt_load_row_t *row,
-                          const mt_prefix_segment_t *parts, size_t count) {
+void mt_relay_update_peer_load (mt_relay_t *relay, uint64_t engine,
+                                const mt_load_row_t *row,
+                                const mt_prefix_segment_t *parts,
+                                size_t count) {
   mt_engine_t *e = mt_engines_get(&relay->engines, engine);
-  int64_t tokens_processed = mt_load_table_set(&relay->book, engine, row);
+  int64_t tokens_processed =
+      mt_load_table_set(&relay->router_loads, engine, row);
   if (e == NULL) return;
   e->cached.clock += tokens_processed;
   if (count == 0 || relay->catalog == NULL) return;
@@ -200,13 +207,15 @@
                                  size_t count) {
   mt_relay_quote_t quote = {.engine = engine};
   mt_engine_t *e = mt_engines_get(&relay->engines, engine);
-  quote.peers = mt_load_table_sum(&relay->book, engine, router, relay->now);
+  quote.peers =
+      mt_load_table_sum(&relay->router_loads, engine, router, relay->now);
   if (e == NULL || relay->catalog == NULL) return quote;
   const mt_catalog_service_t *s =
       mt_catalog_find_service(relay->catalog, e->service);
   mt_engine_load_t all =
-      mt_load_table_sum(&relay->book, engine, 0, relay->now);
-  if (router != 0) { /* the owner's own is another's, too */
+      mt_load_table_sum(&relay->router_loads, engine, 0, relay->now);
+  if (router != 0) {
+    /* A peer asks: this router's own load is another's, too. */
     quote.peers.pending_prefill += e->local.pending_prefill;
     quote.peers.held += e->local.held;
     quote.peers.running += e->local.running;
--- a/src/relay/relay_load.h
+++ b/src/relay/relay_load.h
@@ -1,30 +1,34 @@
 /*
-** relay_load.h - what requests mean to engines: load, speed, kept parts
+** relay_load.h - load, prefill speed, cached segments and reachability of
+** engines
 */
 #ifndef relay_load_h
 #define relay_load_h
 
 #include "placement.h"
 
-/* A request goes to the placement's engine: it counts there from now on. */
-void mt_relay_engage (mt_relay_t *relay, mt_relay_request_t *request,
-                      const mt_placement_t *placement);
+/* The request is sent to the placement's engine: adds it to the load there.
+ */
+void mt_relay_add_load (mt_relay_t *relay, mt_relay_request_t *request,
+                        const mt_placement_t *placement);
 
-/* Its prompt has been read; its answer is over. Both may be said twice. */
-void mt_relay_prompt_read (mt_relay_request_t *request);
-void mt_relay_disengage (mt_relay_request_t *request);
+/* The prompt has been prefilled; the attempt is over. A second call has no
+   effect. */
+void mt_relay_prefill_done (mt_relay_request_t *request);
+void mt_relay_remove_load (mt_relay_request_t *request);
 
-/* Learns from a first event how fast the engine reads; before prompt_read. */
-void mt_relay_learn_rate (mt_relay_t *relay, mt_relay_request_t *request);
+/* Learns the engine's prefill speed from the time to first token; to be
+   called before mt_relay_prefill_done. */
+void mt_relay_learn_prefill (mt_relay_t *relay, mt_relay_request_t *request);
 
-/* The engine gets no more work. */
+/* Marks the engine as gone: it gets no more work. */
 void mt_relay_engine_gone (mt_relay_t *relay, mt_engine_t *engine);
 
-/* Counts engines, ends vanished ones, forgets those long gone; some times a
-** second. */
+/* Counts ready engines, marks those gone that are unlisted for too long, and
+   removes those long gone; called a few times per second. */
 void mt_relay_update_engines (mt_relay_t *relay);
 
-/* Tries to connect to engines that could not be reached; at each tick. */
+/* Tests connections to unreachable engines; called at each tick. */
 void mt_relay_probe_engines (mt_relay_t *relay);
 
 #endif
--- a/src/relay/relay_names.c
+++ b/src/relay/relay_names.c
@@ -1,6 +1,6 @@
 /*
-** relay_names.c - names of refusals, retries and mechanisms, for logs,
-** counters and settings
+** relay_names.c - names of refusals, retries and mechanisms in logs, metrics
+** and settings
 */
 #include <string.h>
 
--- a/src/relay/answer.c
+++ b/src/relay/response.c
@@ -1,39 +1,41 @@
 /*
-** answer.c - what engines answer, passed on or replaced
+** response.c - forwards or discards the responses of engines
 */
 #include <stdlib.h>
 #include <string.h>
 
-#include "answer.h"
+#include "response.h"
 #include "quarantine.h"
 #include "relay_load.h"
 #include "request.h"
 
-/* A longer answer is passed on as it comes. */
-#define HOLD_BODY_MAX (256u << 10)
+/* A response body is buffered up to this size, so that a failed one can be
+   replaced by a retry; a longer one is forwarded as it comes. */
+#define BUFFERED_BODY_MAX (256u << 10)
 
-void mt_answer_head (mt_relay_t *relay, mt_relay_request_t *r,
-                     const mt_relay_event_t *ev) {
+void mt_response_head (mt_relay_t *relay, mt_relay_request_t *r,
+                       const mt_relay_event_t *ev) {
   mt_engine_t *e = r->engine;
   r->status = ev->u.head.status;
   r->events = ev->u.head.events && r->status / 100 == 2;
   r->framed = ev->u.head.framed;
   r->last_received = relay->now;
   switch (ev->u.head.verdict) {
-    case MT_RELAY_MOVED:
+    case MT_RELAY_REPLACED:
       mt_relay_engine_gone(relay, e);
       mt_request_effect(relay, MT_RELAY_DO_CANCEL, r);
-      mt_attempt_failed(relay, r, MT_RELAY_RETRY_MOVED, false);
+      mt_attempt_failed(relay, r, MT_RELAY_RETRY_REPLACED, false);
       return;
     case MT_RELAY_NOT_RUN:
       mt_engine_request_rejected(e, relay->now);
-      /* Its short answer is read to the end; the connection stays. */
-      mt_attempt_failed(relay, r, MT_RELAY_RETRY_SHED, false);
+      /* No cancel: its short response is read to the end, which keeps the
+         connection usable. */
+      mt_attempt_failed(relay, r, MT_RELAY_RETRY_REJECTED, false);
       return;
     case MT_RELAY_RAN: break;
   }
   if (r->phase == MT_RELAY_STREAMING && !r->events) {
-    /* Not the rest of the stream that the caller has begun to get. */
+    /* Not a continuation of the stream that the caller is receiving. */
     if (r->status >= 500) mt_engine_failed(e, relay->now);
     mt_attempt_failed(relay, r, MT_RELAY_RETRY_ERROR, true);
     return;
@@ -43,24 +45,25 @@
     mt_engine_request_accepted(e, r->sent, relay->now);
     return;
   }
-  if (e->backoff <= relay->now) /* else it asked for rest, and is well */
+  if (e->backoff <= relay->now) /* else the 5xx only asked for backoff */
     mt_engine_failed(e, relay->now);
-  if (!mt_attempt_may_follow(relay, r, true)) return;
+  if (!mt_attempt_may_retry(relay, r, true)) return;
   mt_attempt_failed(relay, r, MT_RELAY_RETRY_ERROR, true);
 }
 
-/* What the engine did not frame is not framed for the caller either. */
-static void pass_head (mt_relay_t *relay, mt_relay_request_t *r,
-                       int64_t length) {
+/* Forwards the head once. A body that the engine did not frame is not framed
+   for the caller either, who could not tell that it is truncated. */
+static void forward_head (mt_relay_t *relay, mt_relay_request_t *r,
+                          int64_t length) {
   if (r->phase == MT_RELAY_STREAMING) return;
   r->phase = MT_RELAY_STREAMING;
-  r->vouched = r->framed;
+  r->framed_to_caller = r->framed;
   mt_request_effect(relay, MT_RELAY_DO_HEAD, r)->u.length =
       r->framed ? length : MT_RELAY_LENGTH_UNFRAMED;
 }
 
-static void pass_data (mt_relay_t *relay, mt_relay_request_t *r,
-                       mt_bytes_t data) {
+static void forward_data (mt_relay_t *relay, mt_relay_request_t *r,
+                          mt_bytes_t data) {
   if (data.n > 0)
     mt_request_effect(relay, MT_RELAY_DO_DATA, r)->u.data = data;
 }
@@ -75,26 +78,25 @@
   }
   while (mt_event_stream_next(&r->stream, &event)) {
     if (r->awaiting_event) {
-      r->first = mt_max(relay->now - r->sent, (mt_ms_t)1);
-      mt_relay_learn_rate(relay, r);
-      mt_relay_prompt_read(r);
+      r->ttft = mt_max(relay->now - r->sent, (mt_ms_t)1);
+      mt_relay_learn_prefill(relay, r);
+      mt_relay_prefill_done(r);
     }
     relay->counters.events++;
     if (event.id >= 0 && event.id <= r->last_event) continue;
     if (event.id >= 0) r->last_event = event.id;
-    pass_head(relay, r, MT_RELAY_LENGTH_UNKNOWN);
-    pass_data(relay, r, event.text);
+    forward_head(relay, r, MT_RELAY_LENGTH_UNKNOWN);
+    forward_data(relay, r, event.text);
   }
 }
 
-/* Gathers a short answer, so that a broken one can still be replaced. */
 static void on_plain_data (mt_relay_t *relay, mt_relay_request_t *r,
                            mt_bytes_t data) {
   if (r->phase == MT_RELAY_STREAMING) {
-    pass_data(relay, r, data);
+    forward_data(relay, r, data);
     return;
   }
-  r->phase = MT_RELAY_HOLDING;
+  r->phase = MT_RELAY_BUFFERING;
   if (r->body_size + data.n > r->body_cap) {
     r->body_cap = mt_max(r->body_size + data.n, r->body_cap * 2);
     r->body = realloc(r->body, r->body_cap);
@@ -102,13 +104,13 @@
   }
   memcpy(r->body + r->body_size, data.p, data.n);
   r->body_size += data.n;
-  if (r->body_size < HOLD_BODY_MAX) return;
-  pass_head(relay, r, MT_RELAY_LENGTH_UNKNOWN);
-  pass_data(relay, r, (mt_bytes_t){r->body, r->body_size});
+  if (r->body_size < BUFFERED_BODY_MAX) return;
+  forward_head(relay, r, MT_RELAY_LENGTH_UNKNOWN);
+  forward_data(relay, r, (mt_bytes_t){r->body, r->body_size});
 }
 
-void mt_answer_data (mt_relay_t *relay, mt_relay_request_t *r,
-                     mt_bytes_t data) {
+void mt_response_data (mt_relay_t *relay, mt_relay_request_t *r,
+                       mt_bytes_t data) {
   r->last_received = relay->now;
   r->engine->last_received = relay->now;
   if (r->events)
@@ -117,26 +119,28 @@
     on_plain_data(relay, r, data);
 }
 
-void mt_answer_end (mt_relay_t *relay, mt_relay_request_t *r) {
-  bool doubtful = r->vouched && !r->framed; /* a later engine's end */
-  if (doubtful || (r->events && mt_event_stream_partial(&r->stream))) {
+void mt_response_end (mt_relay_t *relay, mt_relay_request_t *r) {
+  /* Whether an unframed response of a later engine is complete is unknown,
+     but the caller was promised framing. */
+  bool maybe_truncated = r->framed_to_caller && !r->framed;
+  if (maybe_truncated || (r->events && mt_event_stream_partial(&r->stream))) {
     mt_attempt_lost(relay, r, MT_RELAY_RETRY_LOST);
     return;
   }
   if (r->phase != MT_RELAY_STREAMING) {
-    pass_head(relay, r, (int64_t)r->body_size);
-    pass_data(relay, r, (mt_bytes_t){r->body, r->body_size});
+    forward_head(relay, r, (int64_t)r->body_size);
+    forward_data(relay, r, (mt_bytes_t){r->body, r->body_size});
   }
   if (r->status < 500) mt_engine_succeeded(r->engine, relay->now);
   mt_quarantine_run_answered(relay, r);
   mt_request_effect(relay, MT_RELAY_DO_END, r);
   relay->counters.answers++;
-  mt_request_note(relay, r, "answered", "");
+  mt_request_log(relay, r, "answered", "");
   mt_request_remove(relay, r);
 }
 
-void mt_answer_failed (mt_relay_t *relay, mt_relay_request_t *r,
-                       bool not_sent) {
+void mt_response_failed (mt_relay_t *relay, mt_relay_request_t *r,
+                         bool not_sent) {
   if (!not_sent) {
     mt_attempt_lost(relay, r, MT_RELAY_RETRY_LOST);
     return;
--- /dev/null
+++ b/src/relay/response_timeout.h
@@ -0,0 +1,14 @@
+/*
+** response_timeout.h - when an engine has sent nothing for too long
+*/
+#ifndef response_timeout_h
+#define response_timeout_h
+
+#include "relay.h"
+
+/* True if a request that was sent to an engine should be retried at another.
+ */
+bool mt_response_overdue (const mt_relay_t *relay,
+                          const mt_relay_request_t *request);
+
+#endif
--- a/src/relay/retry_budget.c
+++ b/src/relay/retry_budget.c
@@ -1,16 +1,18 @@
 /*
-** retry_budget.c - this router's part of the fleet's budget of retries
+** retry_budget.c - this router's part of the fleet's retry budget
 */
 #include <string.h>
 
 #include "retry_budget.h"
 
-#define SAFE_PART 0.75 /* of the ratio: windows of others lie otherwise */
+/* Part of the budget that is used: it has to hold in every window, also in
+   those that do not begin with a slice. */
+#define SAFETY_PART 0.75
 
-/* Moves on to the current slice and empties those passed by. */
-static void advance (mt_retry_budget_t *b, const mt_retry_terms_t *terms,
+/* Advances to the current slice and clears those in between. */
+static void advance (mt_retry_budget_t *b, const mt_retry_params_t *params,
                      mt_ms_t now) {
-  uint64_t slice = now / mt_max(terms->window / MT_RETRY_SLICES, 1);
+  uint64_t slice = now / mt_max(params->window / MT_RETRY_SLICES, 1);
   if (slice - b->slice >= MT_RETRY_SLICES) {
     memset(b, 0, sizeof *b);
     b->slice = slice;
@@ -29,17 +31,17 @@
 }
 
 void mt_retry_budget_request (mt_retry_budget_t *b,
-                              const mt_retry_terms_t *terms, mt_ms_t now) {
-  advance(b, terms, now);
+                              const mt_retry_params_t *params, mt_ms_t now) {
+  advance(b, params, now);
   b->requests[b->slice % MT_RETRY_SLICES]++;
 }
 
 bool mt_retry_budget_take (mt_retry_budget_t *b,
-                           const mt_retry_terms_t *terms, int routers,
+                           const mt_retry_params_t *params, int routers,
                            mt_ms_t now) {
-  advance(b, terms, now);
-  double own = terms->ratio * SAFE_PART * sum(b->requests);
-  double slack = (double)terms->slack * SAFE_PART / mt_max(routers, 1);
+  advance(b, params, now);
+  double own = params->ratio * SAFETY_PART * sum(b->requests);
+  double slack = (double)params->slack * SAFETY_PART / mt_max(routers, 1);
   if (sum(b->retries) + 1 > own + slack) return false;
   b->retries[b->slice % MT_RETRY_SLICES]++;
   return true;
--- a/src/relay/retry_budget.h
+++ b/src/relay/retry_budget.h
@@ -1,35 +1,37 @@
 /*
-** retry_budget.h - this router's part of the fleet's budget of retries
+** retry_budget.h - this router's part of the fleet's retry budget
 **
-** The budget of the whole fleet is a part of the requests in a window and a
-** fixed slack. Each router may use that part of its own requests and an even
-** share of the slack, so it holds even when routers cannot hear each other.
+** In any window the whole fleet may send `ratio` retries per request plus a
+** fixed slack. Each router takes that ratio of its own requests and an even
+** share of the slack, so no messages between routers are needed to keep the
+** bound.
 */
 #ifndef retry_budget_h
 #define retry_budget_h
 
 #include "mtmem.h"
 
-#define MT_RETRY_SLICES 10
+#define MT_RETRY_SLICES 10 /* of the window */
 
-typedef struct mt_retry_terms_t {
+typedef struct mt_retry_params_t {
   double ratio; /* retries per request */
   mt_ms_t window;
-  int slack; /* of the whole fleet, in one window */
-} mt_retry_terms_t;
+  int slack; /* retries of the whole fleet per window */
+} mt_retry_params_t;
 
-/* Requests and retries of one service, by slices of the window. */
+/* Requests and retries of one service, per slice of the window. */
 typedef struct mt_retry_budget_t {
   int32_t requests[MT_RETRY_SLICES], retries[MT_RETRY_SLICES];
-  uint64_t slice; /* number of the current one */
+  uint64_t slice; /* number of the current slice */
 } mt_retry_budget_t;
 
 void mt_retry_budget_request (mt_retry_budget_t *budget,
-                              const mt_retry_terms_t *terms, mt_ms_t now);
+                              const mt_retry_params_t *params, mt_ms_t now);
 
-/* Takes one retry; false when it would go over the budget. */
+/* Takes one retry; false if it would exceed the budget. `routers`: that are
+   alive, this one included. */
 bool mt_retry_budget_take (mt_retry_budget_t *budget,
-                           const mt_retry_terms_t *terms, int routers,
+                           const mt_retry_params_t *params, int routers,
                            mt_ms_t now);
 
 #endif
--- a/tests/cold_start_test.cc
+++ b/tests/cold_start_test.cc
@@ -1,4 +1,4 @@
-// cold_start_test.cc - what a cold engine gets, and emptied failure domains
+// cold_start_test.cc - rate limit of cold engines, evacuated failure domains
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,13 +17,14 @@
 
 namespace {
 
-const mt_cold_terms_t terms = {1.5, 5};
+const mt_cold_params_t params = {1.5, 5};
 const double rate = 9.8;
-const double allowed = rate * 1.5 + 5; // in any second
+const double allowed = rate * 1.5 + 5; // requests in any second
 
-// {== The bucket ===========================================================
+// {== The token bucket =====================================================
 
-// Owners that do not hear each other, each with a part of the routers.
+// Owners of one engine in separate network partitions, each with a fraction
+// of the routers.
 struct Owners {
   std::vector<mt_cold_starts_t> all;
   std::vector<double> parts;
@@ -37,13 +38,13 @@
     for (mt_cold_starts_t &s : all) mt_cold_starts_free(&s);
   }
   void cold (mt_ms_t ms) {
-    for (mt_cold_starts_t &s : all) mt_cold_starts_note(&s, 7, now + ms, now);
+    for (mt_cold_starts_t &s : all) mt_cold_starts_set(&s, 7, now + ms, now);
   }
   mt_admission_t ask (size_t owner) {
-    return mt_cold_starts_ask(&all[owner], 7, rate, &terms, parts[owner],
-                              now);
+    return mt_cold_starts_acquire(&all[owner], 7, rate, &params, parts[owner],
+                                  now);
   }
-  // The most that arrived in any second.
+  // Most requests that arrived within one second.
   size_t most () {
     size_t best = 0;
     std::sort(sent.begin(), sent.end());
@@ -55,40 +56,42 @@
   }
 };
 
-// Whoever asks, whenever it uses its place, and whatever messages are lost.
-TEST(ColdStart, NoSecondBringsMoreThanIsAllowed) {
+// For any owner that is asked, any time at which a permit is used, and any
+// loss of messages.
+TEST(ColdStart, BoundHoldsInEverySecond) {
   struct Row {
     const char *what;
     std::vector<double> parts;
-    double uses;     // part of the places that are used
-    double back;     // part of the others that the owner gets back
+    double uses;     // fraction of the permits that are used
+    double back;     // fraction of the others that are returned
     size_t at_least; // requests in 3 s
-  } rows[] = {{"all use them", {1}, 1, 1, 36},
-              {"some do", {1}, 0.3, 1, 30},
-              {"what is given back is lost", {1}, 0.5, 0, 15},
-              {"two that are cut off", {0.5, 0.5}, 1, 1, 30},
-              {"a domain of three", {0.34, 0.33, 0.33}, 1, 1, 25},
-              {"many alone", std::vector<double>(91, 1.0 / 91), 1, 1, 0}};
+  } rows[] = {
+      {"all are used", {1}, 1, 1, 36},
+      {"some are used", {1}, 0.3, 1, 30},
+      {"returned permits are lost", {1}, 0.5, 0, 15},
+      {"two partitions", {0.5, 0.5}, 1, 1, 30},
+      {"three partitions", {0.34, 0.33, 0.33}, 1, 1, 25},
+      {"every router alone", std::vector<double>(91, 1.0 / 91), 1, 1, 0}};
   for (const Row &row : rows) {
     for (unsigned seed = 1; seed <= 10; seed++) {
       std::mt19937 random(seed);
       auto chance = [&] (double p) { return (random() % 1000) < p * 1000; };
       Owners w(row.parts);
       w.cold(3000);
-      std::vector<std::pair<mt_ms_t, size_t>> backs;
+      std::vector<std::pair<mt_ms_t, size_t>> returns;
       for (int ms = 0; ms < 3000; ms++, w.now++) {
         for (size_t k = 0; k < w.all.size(); k++) {
-          if (!chance(0.3) || w.ask(k) != MT_ADMIT_PLACE) continue;
-          mt_ms_t later = w.now + random() % (MT_COLD_PLACE_MS + 1);
+          if (!chance(0.3) || w.ask(k) != MT_ADMIT_PERMIT) continue;
+          mt_ms_t later = w.now + random() % (MT_COLD_PERMIT_MS + 1);
           if (chance(row.uses))
             w.sent.push_back(later);
           else if (chance(row.back))
-            backs.push_back({later, k});
+            returns.push_back({later, k});
         }
-        for (size_t i = backs.size(); i-- > 0;) {
-          if (backs[i].first > w.now) continue;
-          mt_cold_starts_give_back(&w.all[backs[i].second], 7);
-          backs.erase(backs.begin() + (long)i);
+        for (size_t i = returns.size(); i-- > 0;) {
+          if (returns[i].first > w.now) continue;
+          mt_cold_starts_return(&w.all[returns[i].second], 7);
+          returns.erase(returns.begin() + (long)i);
         }
       }
       EXPECT_LE((double)w.most(), allowed) << row.what << " seed " << seed;
@@ -97,31 +100,31 @@
   }
 }
 
-// What came without a place is taken from those that follow.
-TEST(ColdStart, RequestsWithoutAPlaceAreOwed) {
+// Requests that came without a permit are taken from later permits.
+TEST(ColdStart, RequestsWithoutPermitAreCharged) {
   Owners w({1});
   w.cold(3000);
-  ASSERT_EQ(w.ask(0), MT_ADMIT_PLACE);
+  ASSERT_EQ(w.ask(0), MT_ADMIT_PERMIT);
   for (int i = 0; i < 10; i++) mt_cold_starts_charge(&w.all[0], 7);
   w.now += 500;
   EXPECT_EQ(w.ask(0), MT_ADMIT_NONE);
   w.now += 1000;
-  EXPECT_EQ(w.ask(0), MT_ADMIT_PLACE);
+  EXPECT_EQ(w.ask(0), MT_ADMIT_PERMIT);
 }
 
-TEST(ColdStart, WhatOwnersAnswer) {
+TEST(ColdStart, OwnerReplies) {
   struct Row {
     const char *what;
-    mt_ms_t cold; // from the note on; 0: none was made
+    mt_ms_t cold; // duration; 0: never known as cold
     mt_ms_t after;
     double part;
     mt_admission_t answer;
   } rows[] = {
-      {"never heard of", 0, 100, 1, MT_ADMIT_UNKNOWN},
-      {"cold", 3000, 100, 1, MT_ADMIT_PLACE},
-      {"cold, the owner is not sure to be one", 3000, 100, 0, MT_ADMIT_NONE},
+      {"unknown", 0, 100, 1, MT_ADMIT_UNKNOWN},
+      {"cold", 3000, 100, 1, MT_ADMIT_PERMIT},
+      {"cold, ownership disputed", 3000, 100, 0, MT_ADMIT_NONE},
       {"warm again", 3000, 3000, 1, MT_ADMIT_WARM},
-      {"warm again, not sure", 3000, 3001, 0, MT_ADMIT_WARM},
+      {"warm again, ownership disputed", 3000, 3001, 0, MT_ADMIT_WARM},
       {"long ago", 3000, 20000, 1, MT_ADMIT_UNKNOWN}};
   for (const Row &row : rows) {
     Owners w({row.part});
@@ -132,16 +135,16 @@
   }
 }
 
-TEST(ColdStart, ItMayBeToldOtherwiseAtAnyTime) {
+TEST(ColdStart, ColdStateMayChangeAtAnyTime) {
   Owners w({1});
   w.cold(3000);
   EXPECT_TRUE(mt_cold_starts_is_cold(&w.all[0], 7, w.now));
   EXPECT_EQ(mt_cold_starts_count(&w.all[0], w.now), 1u);
   w.now += 1000;
-  mt_cold_starts_note(&w.all[0], 7, w.now, w.now); // it is warm
+  mt_cold_starts_set(&w.all[0], 7, w.now, w.now); // warm
   EXPECT_FALSE(mt_cold_starts_is_cold(&w.all[0], 7, w.now));
   EXPECT_EQ(mt_cold_starts_count(&w.all[0], w.now), 0u);
-  w.cold(500); // and cold again
+  w.cold(500); // cold again
   EXPECT_TRUE(mt_cold_starts_is_cold(&w.all[0], 7, w.now + 499));
   EXPECT_FALSE(mt_cold_starts_is_cold(&w.all[0], 7, w.now + 500));
 }
@@ -150,12 +153,12 @@
 
 // {== Requests =============================================================
 
-// Engines m1 to m4 of domain d1, m5 to m8 of d2; this router is in d1.
+// Engines m1 to m4 are in domain d1, m5 to m8 in d2; this router is in d1.
 struct Fleet : Relay {
   Fleet() : Relay(8) {
     declare();
     relay->routers = 2;
-    relay->terms.cold = terms;
+    relay->params.cold = params;
     for (size_t i = 0; i < relay->catalog->services_count; i++) {
       mt_catalog_service_t *s = &relay->catalog->services[i];
       s->cold_rate = s->model ? rate : 0;
@@ -175,9 +178,10 @@
   void cold (mt_engine_t *e, mt_ms_t left = 3000) {
     mt_relay_engine_listed(relay, e, left, now);
   }
-  // All owners answer the same; the engine chosen, or 0.
-  uint64_t told (uint64_t number, mt_admission_t cold_ones,
-                 mt_admission_t others = MT_ADMIT_UNKNOWN) {
+  // All asked owners reply with these admissions; returns the engine chosen,
+  // or 0.
+  uint64_t reply_all (uint64_t number, mt_admission_t from_cold,
+                      mt_admission_t from_others = MT_ADMIT_UNKNOWN) {
     std::vector<mt_relay_quote_t> quotes;
     std::vector<uint64_t> keys = asked(number);
     if (keys.empty()) return 0;
@@ -185,7 +189,7 @@
       mt_relay_quote_t quote{};
       bool cold = mt_cold_starts_is_cold(&relay->cold, key, now);
       quote.engine = key;
-      quote.admission = cold ? cold_ones : others;
+      quote.admission = cold ? from_cold : from_others;
       quotes.push_back(quote);
     }
     mt_relay_event_t event{};
@@ -199,20 +203,20 @@
   }
 };
 
-TEST(ColdEngines, GetRequestsOnlyWithAPlace) {
+TEST(ColdEngines, GetRequestsOnlyWithAPermit) {
   struct Row {
     const char *what;
     bool all_cold;
-    mt_admission_t cold_ones, others;
+    mt_admission_t from_cold, from_others;
     bool cold_gets, any_gets;
   } rows[] = {
-      {"no place", false, MT_ADMIT_NONE, MT_ADMIT_UNKNOWN, false, true},
-      {"the owner knows nothing", false, MT_ADMIT_UNKNOWN, MT_ADMIT_UNKNOWN,
+      {"no permit", false, MT_ADMIT_NONE, MT_ADMIT_UNKNOWN, false, true},
+      {"unknown to the owner", false, MT_ADMIT_UNKNOWN, MT_ADMIT_UNKNOWN,
        false, true},
-      {"a place, others get no work", false, MT_ADMIT_PLACE, MT_ADMIT_NONE,
+      {"a permit, others get no work", false, MT_ADMIT_PERMIT, MT_ADMIT_NONE,
        true, true},
       {"warm by now", false, MT_ADMIT_WARM, MT_ADMIT_NONE, true, true},
-      {"all are cold", true, MT_ADMIT_PLACE, MT_ADMIT_UNKNOWN, true, true},
+      {"all are cold", true, MT_ADMIT_PERMIT, MT_ADMIT_UNKNOWN, true, true},
       {"all are cold and full", true, MT_ADMIT_NONE, MT_ADMIT_UNKNOWN, false,
        false}};
   for (const Row &row : rows) {
@@ -222,9 +226,9 @@
       for (int i = 1; i <= 8; i++)
         if (row.all_cold || i == 2) w.cold(w.m(i));
       w.ask(number, "/stream/x");
-      uint64_t key = w.told(number, row.cold_ones, row.others);
-      // The second round asks other domains; their engines are cold as well.
-      if (key == 0) key = w.told(number, row.cold_ones, row.others);
+      uint64_t key = w.reply_all(number, row.from_cold, row.from_others);
+      // The second round asks the other domain, with the same replies.
+      if (key == 0) key = w.reply_all(number, row.from_cold, row.from_others);
       if (key == 0) {
         refused += w.refusal() != MT_RELAY_REFUSAL_COUNT;
         continue;
@@ -234,61 +238,61 @@
     }
     EXPECT_EQ(to_cold > 0, row.cold_gets) << row.what;
     EXPECT_EQ(to_any > 0, row.any_gets) << row.what;
-    EXPECT_EQ(to_any + refused, 40) << row.what; // nobody is left waiting
+    EXPECT_EQ(to_any + refused, 40) << row.what; // none waits for ever
   }
 }
 
-TEST(ColdEngines, APlaceIsUsedOnce) {
+TEST(ColdEngines, PermitIsUsedOnce) {
   Fleet w;
   for (int i = 1; i <= 8; i++) w.cold(w.m(i));
   w.ask(1, "/stream/x");
   std::vector<uint64_t> keys = w.asked(1);
   ASSERT_GE(keys.size(), 2u);
-  uint64_t first = w.told(1, MT_ADMIT_PLACE);
+  uint64_t first = w.reply_all(1, MT_ADMIT_PERMIT);
   ASSERT_NE(first, 0u);
-  // The other places are given back at once.
+  // The other permits are returned at once.
   std::vector<uint64_t> back;
   for (size_t i = 0; i < w.effects.count; i++)
-    if (w.effects.list[i].kind == MT_RELAY_DO_GIVE_BACK)
-      back.push_back(w.effects.list[i].u.place);
+    if (w.effects.list[i].kind == MT_RELAY_DO_RETURN_PERMIT)
+      back.push_back(w.effects.list[i].u.permit);
   keys.erase(std::find(keys.begin(), keys.end(), first));
   EXPECT_EQ(back, keys);
   auto *r = (mt_relay_request_t *)mtV_get(&w.relay->requests, 1);
   w.relay->now = w.now;
   EXPECT_FALSE(mt_admission_allows(w.relay, r, r->engine));
-  EXPECT_TRUE(r->has_place);
-  w.sent(1); // its engine is lost: the retry finds no place
+  EXPECT_TRUE(r->has_permit);
+  w.sent(1); // its connection fails: there is no permit for a retry
   w.fail(1);
   EXPECT_EQ(w.find(MT_RELAY_DO_START, 1), nullptr);
   EXPECT_NE(w.refusal(), MT_RELAY_REFUSAL_COUNT);
 }
 
-// Answers that are awaited for long may bring places that count no more, and
-// an answer that comes when all is decided brings one that is given back.
-TEST(ColdEngines, APlaceCountsForAShortTime) {
+// A permit may have expired before the last quote comes in. One that comes
+// after the request was placed is returned.
+TEST(ColdEngines, PermitExpires) {
   Fleet w;
   for (int i = 1; i <= 8; i++) w.cold(w.m(i));
   w.pass(25);
   w.ask(1, "/stream/x");
   auto *r = (mt_relay_request_t *)mtV_get(&w.relay->requests, 1);
   r->candidates[0].quoted = true;
-  r->candidates[0].admission = MT_ADMIT_PLACE;
+  r->candidates[0].admission = MT_ADMIT_PERMIT;
   const mt_engine_t *e =
       mt_engines_get(&w.relay->engines, r->candidates[0].engine);
-  w.relay->now = r->asked + MT_COLD_PLACE_MS;
+  w.relay->now = r->asked + MT_COLD_PERMIT_MS;
   EXPECT_TRUE(mt_admission_allows(w.relay, r, e));
-  w.relay->now = r->asked + MT_COLD_PLACE_MS + 1;
+  w.relay->now = r->asked + MT_COLD_PERMIT_MS + 1;
   EXPECT_FALSE(mt_admission_allows(w.relay, r, e));
   w.ask(2, "/stream/x");
   std::vector<uint64_t> keys = w.asked(2);
-  w.cold(w.m(5), 0); // warm: it needs nobody's word
+  w.cold(w.m(5), 0); // warm: needs no permit
   r = (mt_relay_request_t *)mtV_get(&w.relay->requests, 2);
-  w.pass(100); // request 1 or 2 is placed without answers
+  w.pass(100); // request 1 or 2 is placed without quotes
   w.pass(100);
   ASSERT_NE(r->engine, nullptr);
   mt_relay_quote_t quote{};
   quote.engine = keys[0];
-  quote.admission = MT_ADMIT_PLACE;
+  quote.admission = MT_ADMIT_PERMIT;
   mt_relay_event_t event{};
   event.kind = MT_RELAY_QUOTED;
   event.request = 2;
@@ -296,12 +300,12 @@
   event.u.quotes.count = 1;
   w.step(event);
   ASSERT_EQ(w.effects.count, 1u);
-  EXPECT_EQ(w.effects.list[0].kind, MT_RELAY_DO_GIVE_BACK);
-  EXPECT_EQ(w.effects.list[0].u.place, keys[0]);
+  EXPECT_EQ(w.effects.list[0].kind, MT_RELAY_DO_RETURN_PERMIT);
+  EXPECT_EQ(w.effects.list[0].u.permit, keys[0]);
 }
 
-// Owners that say nothing in time hand out nothing.
-TEST(ColdEngines, SilentOwnersGiveNoPlaces) {
+// Without a quote in time there is no permit.
+TEST(ColdEngines, SilentOwnersGrantNoPermits) {
   for (bool alone : {false, true}) {
     Fleet w;
     w.relay->routers = alone ? 1 : 2;
@@ -314,14 +318,14 @@
   }
 }
 
-TEST(ColdEngines, WhatNeedsNoPlace) {
+TEST(ColdEngines, UnlimitedServiceNeedsNoPermit) {
   Fleet w;
   for (int i = 1; i <= 8; i++) w.cold(w.find("p" + std::to_string(i)));
-  w.ask(1, "/again/x"); // of a service whose cold engines bear anything
-  EXPECT_NE(w.told(1, MT_ADMIT_UNKNOWN), 0u);
+  w.ask(1, "/again/x"); // of a service without a rate for cold engines
+  EXPECT_NE(w.reply_all(1, MT_ADMIT_UNKNOWN), 0u);
 }
 
-TEST(ColdEngines, NotManyOfThemAreAskedInPlaceOfOthers) {
+TEST(ColdEngines, AtMostOneBesidesHomesIsAsked) {
   Fleet w;
   for (int i = 2; i <= 4; i++) w.cold(w.m(i));
   for (uint64_t number = 1; number <= 20; number++) {
@@ -330,30 +334,30 @@
     auto *r = (mt_relay_request_t *)mtV_get(&w.relay->requests, number);
     for (uint64_t key : w.asked(number))
       cold += mt_cold_starts_is_cold(&w.relay->cold, key, w.now) &&
-              key != r->home_near && key != r->home_of_all;
+              key != r->home_local && key != r->home_global;
     EXPECT_LE(cold, 1) << number;
   }
 }
 
-TEST(ColdEngines, AnOwnerAnswersForItsEngines) {
+TEST(ColdEngines, OwnerAnswersForItsEngines) {
   struct Row {
     const char *what;
-    bool cold, leaving, evacuated, keeps;
+    bool cold, draining, evacuated, is_owner;
     mt_admission_t answer;
   } rows[] = {
       {"warm", false, false, false, true, MT_ADMIT_UNKNOWN},
-      {"cold", true, false, false, true, MT_ADMIT_PLACE},
+      {"cold", true, false, false, true, MT_ADMIT_PERMIT},
       {"cold, of another owner", true, false, false, false, MT_ADMIT_NONE},
-      {"leaves", false, true, false, false, MT_ADMIT_NONE},
-      {"emptied", false, false, true, false, MT_ADMIT_NONE}};
+      {"draining", false, true, false, false, MT_ADMIT_NONE},
+      {"evacuated", false, false, true, false, MT_ADMIT_NONE}};
   for (const Row &row : rows) {
     Fleet w;
     mt_engine_t *e = w.m(1);
     w.relay->now = w.now;
     if (row.cold) w.cold(e);
-    if (row.leaving) e->state = MT_ENGINE_DRAINING;
+    if (row.draining) e->state = MT_ENGINE_DRAINING;
     if (row.evacuated) mt_relay_evacuate(w.relay, "d1", true, w.now);
-    EXPECT_EQ(mt_relay_admission(w.relay, e->key, row.keeps), row.answer)
+    EXPECT_EQ(mt_relay_admission(w.relay, e->key, row.is_owner), row.answer)
         << row.what;
   }
   Fleet w;
@@ -362,9 +366,9 @@
 
 // }==
 
-// {== Emptied failure domains ==============================================
+// {== Evacuated failure domains ============================================
 
-TEST(Evacuation, TheListOfDomains) {
+TEST(Evacuation, ListOfDomains) {
   mt_evacuations_t list{};
   EXPECT_FALSE(mt_evacuations_set(&list, "", true));
   EXPECT_FALSE(mt_evacuations_set(&list, "d1", false));
@@ -385,23 +389,23 @@
 TEST(Evacuation, WhereRequestsGo) {
   struct Row {
     const char *what;
-    std::vector<const char *> emptied;
-    bool near, remote; // whose engines get requests
+    std::vector<const char *> evacuated_domains;
+    bool near, remote; // engines in these domains get requests
   } rows[] = {{"none", {}, true, true},
-              {"the own", {"d1"}, false, true},
-              {"the other", {"d2"}, true, false},
+              {"the local domain", {"d1"}, false, true},
+              {"the remote domain", {"d2"}, true, false},
               {"both", {"d1", "d2"}, false, false},
-              {"one that has no engines", {"d9"}, true, true}};
+              {"a domain without engines", {"d9"}, true, true}};
   for (const Row &row : rows) {
     int near = 0, remote = 0, refused = 0;
     for (const char *path : {"/stream/x", "/again/x"})
       for (uint64_t number = 1; number <= 40; number++) {
         Fleet w;
-        for (const char *domain : row.emptied)
+        for (const char *domain : row.evacuated_domains)
           mt_relay_evacuate(w.relay, domain, true, w.now);
         w.ask(number, path);
-        uint64_t key = w.told(number, MT_ADMIT_UNKNOWN);
-        if (key == 0) key = w.told(number, MT_ADMIT_UNKNOWN);
+        uint64_t key = w.reply_all(number, MT_ADMIT_UNKNOWN);
+        if (key == 0) key = w.reply_all(number, MT_ADMIT_UNKNOWN);
         if (const mt_relay_effect_t *fx = w.find(MT_RELAY_DO_START, number))
           key = fx->u.start.engine;
         refused += w.refusal() == MT_RELAY_NO_ENGINE;
@@ -418,7 +422,7 @@
 TEST(Evacuation, RunningStreamsGoOnAndRetriesGoElsewhere) {
   Fleet w;
   w.ask(1, "/stream/x");
-  uint64_t key = w.told(1, MT_ADMIT_UNKNOWN);
+  uint64_t key = w.reply_all(1, MT_ADMIT_UNKNOWN);
   ASSERT_NE(key, 0u);
   const mt_engine_t *first = mt_engines_get(&w.relay->engines, key);
   ASSERT_TRUE(mt_relay_evacuate(w.relay, first->domain, true, w.now));
@@ -434,11 +438,11 @@
   EXPECT_STRNE(next->domain, first->domain);
 }
 
-TEST(Evacuation, EnginesThatAreUsedAgainAreCold) {
+TEST(Evacuation, EnginesOfAReadmittedDomainAreCold) {
   Fleet w;
   ASSERT_TRUE(mt_relay_evacuate(w.relay, "d1", true, w.now));
   EXPECT_FALSE(mt_relay_evacuate(w.relay, "d1", true, w.now));
-  // One that comes meanwhile gets no work either.
+  // An engine that is listed meanwhile gets no work either.
   mt_engine_t *late = w.engine("m9", "model", 64);
   late->domain = strdup("d1");
   w.cold(late, 0);
@@ -450,25 +454,25 @@
   EXPECT_FALSE(mt_cold_starts_is_cold(&w.relay->cold, w.m(5)->key, w.now));
   EXPECT_FALSE(
       mt_cold_starts_is_cold(&w.relay->cold, w.find("p1")->key, w.now));
-  w.cold(w.m(1), 0); // its entry says that it is warm
+  w.cold(w.m(1), 0); // listed as warm
   EXPECT_FALSE(mt_cold_starts_is_cold(&w.relay->cold, w.m(1)->key, w.now));
 }
 
 // }==
 
-// {== Who hands out places =================================================
+// {== Owners of engines ====================================================
 
-TEST(Membership, ReachIsThePartOfKnownRoutersThatServe) {
+TEST(Membership, ReachIsTheFractionOfKnownRoutersAlive) {
   struct Row {
     const char *what;
-    int known, last_seen; // of others
-    mt_ms_t since;        // the start
+    int known, alive; // other routers
+    mt_ms_t since;    // own start, ms ago
     double reach;
-  } rows[] = {{"alone, of a fleet of one", 0, 0, 5000, 1},
-              {"all serve", 9, 9, 5000, 1},
-              {"half of them are cut off", 9, 4, 5000, 0.5},
-              {"it knows some addresses and hears nobody", 3, 0, 5000, 0.25},
-              {"it has just started", 9, 9, 1000, 0}};
+  } rows[] = {{"a fleet of one", 0, 0, 5000, 1},
+              {"all alive", 9, 9, 5000, 1},
+              {"half are unreachable", 9, 4, 5000, 0.5},
+              {"some known, none alive", 3, 0, 5000, 0.25},
+              {"just started", 9, 9, 1000, 0}};
   for (const Row &row : rows) {
     mt_membership_t m{};
     mt_ms_t now = 100000;
@@ -478,7 +482,7 @@
     for (int i = 0; i < row.known; i++) {
       mt_peer_t *peer = mt_membership_add(&m, (uint32_t)(i + 2));
       peer->domain = 1;
-      if (i < row.last_seen) peer->last_seen = now;
+      if (i < row.alive) peer->last_seen = now;
     }
     mt_membership_update(&m, now);
     EXPECT_DOUBLE_EQ(mt_membership_live_fraction(&m), row.reach) << row.what;
@@ -486,9 +490,9 @@
   }
 }
 
-// One that is passed over for a while still hands out places, so the one
-// taken in its place does not.
-TEST(Membership, ASuspectStillKeepsItsEngines) {
+// A suspected router is not asked, but may still grant permits for its
+// engines; the router that is asked instead must not, or both would.
+TEST(Membership, SuspectedRouterKeepsItsEngines) {
   mt_membership_t m{};
   m.own_ip = 1;
   m.own_domain = 1;
@@ -501,7 +505,7 @@
   other->suspect_until = 100700;
   EXPECT_EQ(mt_membership_owner(&m, engine, 1), m.own_ip);
   EXPECT_FALSE(mt_membership_owns(&m, engine, 1));
-  mt_membership_update(&m, 105000); // it is gone
+  mt_membership_update(&m, 105000); // the suspect is declared dead
   EXPECT_TRUE(mt_membership_owns(&m, engine, 1));
   mt_membership_free(&m);
 }
--- a/tests/engine_drain_backoff_test.cc
+++ b/tests/engine_drain_backoff_test.cc
@@ -17,12 +17,13 @@
   }
   // An answer or, if `gossiped`, another router says that the engine drains
   // or asks for a backoff.
-  void says (const std::string &engine, bool draining, mt_ms_t backoff,
-             int64_t started_at = 0, bool gossiped = false, mt_ms_t age = 0) {
+  void advertises (const std::string &engine, bool draining, mt_ms_t backoff,
+                   int64_t started_at = 0, bool gossiped = false,
+                   mt_ms_t age = 0) {
     mt_relay_event_t event{};
     event.kind = MT_RELAY_NOTICE;
     event.u.notice.engine = find(engine)->key;
-    event.u.notice.says = {draining, backoff};
+    event.u.notice.advertises = {draining, backoff};
     event.u.notice.drain = {now - age, started_at, gossiped};
     step(event);
   }
@@ -31,7 +32,7 @@
     mt_relay_event_t event{};
     event.kind = MT_RELAY_NOTICE;
     event.u.notice.engine = mt_engine_key(engine.data(), engine.size());
-    event.u.notice.says = {true, 0};
+    event.u.notice.advertises = {true, 0};
     event.u.notice.drain = {now, started_at, true};
     step(event);
   }
@@ -73,7 +74,7 @@
     NoticeRelay r(1);
     mt_engine_t *e = r.find("p1");
     e->started_at = row.listed;
-    r.says("p1", true, 0, row.advertised, row.gossiped);
+    r.advertises("p1", true, 0, row.advertised, row.gossiped);
     r.now += row.later;
     EXPECT_EQ(mt_engine_is_available(e, r.now), row.available) << row.what;
     EXPECT_EQ(r.placed_at(1), row.available ? "p1" : "") << row.what;
@@ -119,13 +120,13 @@
 // when the same drain is gossiped.
 TEST(EngineDrainBackoff, DirectDrainOutlastsGossip) {
   NoticeRelay r(1);
-  r.says("p1", true, 0, 5);
-  r.says("p1", true, 0, 5, true);
+  r.advertises("p1", true, 0, 5);
+  r.advertises("p1", true, 0, 5, true);
   r.now += 3600000;
   EXPECT_FALSE(mt_engine_is_available(r.find("p1"), r.now));
   NoticeRelay other(1);
-  other.says("p1", true, 0, 5, true);
-  other.says("p1", true, 0, 5);
+  other.advertises("p1", true, 0, 5, true);
+  other.advertises("p1", true, 0, 5);
   other.now += 3600000;
   EXPECT_FALSE(mt_engine_is_available(other.find("p1"), other.now));
 }
@@ -136,7 +137,7 @@
   mt_engine_t *e = r.find("p1");
   EXPECT_EQ(r.placed_at(1), "p1");
   r.sent(1);
-  r.says("p1", true, 0, 5);
+  r.advertises("p1", true, 0, 5);
   e->state = MT_ENGINE_READY;
   mt_engine_set_reachable(e, true, r.now);
   r.head(1, 200);
@@ -156,7 +157,7 @@
     source_engine->evacuated = true;
     const mt_prefix_segment_t segment = {7, 500};
     mt_prefix_cache_use(&source_engine->cached, &segment, 1, 100000);
-    if (draining) r.says("m1", true, 0);
+    if (draining) r.advertises("m1", true, 0);
     r.ask(1, "/stream/x");
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START, 1);
     ASSERT_NE(fx, nullptr);
@@ -170,7 +171,7 @@
   NoticeRelay r(2);
   uint64_t key = r.find("m1")->key;
   EXPECT_NE(mt_relay_admission(r.relay, key, true), MT_ADMIT_NONE);
-  r.says("m1", true, 0);
+  r.advertises("m1", true, 0);
   EXPECT_EQ(mt_relay_admission(r.relay, key, true), MT_ADMIT_NONE);
 }
 
@@ -180,12 +181,12 @@
   NoticeRelay r(2);
   std::string engine = r.placed_at(1, "/once/x");
   std::string other = engine == "p1" ? "p2" : "p1";
-  r.says(engine, true, 0);
+  r.advertises(engine, true, 0);
   EXPECT_NE(r.find(MT_RELAY_DO_CANCEL, 1), nullptr);
   const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START, 1);
   ASSERT_NE(fx, nullptr);
   EXPECT_EQ(fx->u.start.engine, r.find(other)->key);
-  r.says(other, true, 0);
+  r.advertises(other, true, 0);
   EXPECT_EQ(r.refusal(), MT_RELAY_NO_ENGINE);
   EXPECT_TRUE(r.idle());
 }
@@ -194,7 +195,7 @@
   NoticeRelay r(2);
   std::string engine = r.placed_at(1);
   r.sent(1);
-  r.says(engine, true, 0);
+  r.advertises(engine, true, 0);
   EXPECT_EQ(r.effects.count, 0u);
   r.head(1, 200);
   r.end(1);
@@ -226,7 +227,7 @@
     mt_engine_t *e = r.find("p1");
     for (auto &asked_for : row.backoffs) {
       r.now = begun + asked_for.first;
-      r.says("p1", false, asked_for.second);
+      r.advertises("p1", false, asked_for.second);
     }
     r.now = begun + row.earliest - 1;
     EXPECT_FALSE(mt_engine_takes_work(e, r.now)) << row.what;
@@ -244,8 +245,8 @@
   EXPECT_EQ(r.placed_at(2), "p1");
   r.sent(1);
   r.sent(2);
-  r.relay->terms.off[MT_RELAY_REST] = true;
-  r.says("p1", false, 3000);
+  r.relay->params.off[MT_RELAY_REST] = true;
+  r.advertises("p1", false, 3000);
   r.now += 100;
   r.head(1, 200);
   r.end(1);
@@ -255,7 +256,7 @@
   e->state = MT_ENGINE_READY;
   r.now += 2800;
   EXPECT_EQ(r.placed_at(3), "");
-  EXPECT_EQ(r.refusal(), MT_RELAY_RESTING);
+  EXPECT_EQ(r.refusal(), MT_RELAY_BACKOFF);
 }
 
 // After the backoff one request is sent as a trial; the others follow when it
@@ -276,7 +277,7 @@
   };
   for (const Row &row : rows) {
     NoticeRelay r(1);
-    r.says("p1", false, 1000);
+    r.advertises("p1", false, 1000);
     r.now += 1100;
     EXPECT_EQ(r.placed_at(1, "/once/x"), "p1") << row.what;
     r.sent(1);
@@ -286,7 +287,7 @@
       case Outcome::Accepted: r.head(1, 200); break;
       case Outcome::Failed: r.head(1, 500); break;
       case Outcome::Rejected:
-        r.says("p1", false, 1000);
+        r.advertises("p1", false, 1000);
         r.head(1, 503, false, MT_RELAY_NOT_RUN);
         break;
       case Outcome::Pending: break;
@@ -299,12 +300,12 @@
 // first backoff ends, spread over time.
 TEST(EngineDrainBackoff, RetryAfterIsPastTheBackoffAndSpread) {
   NoticeRelay r(2);
-  r.says("p1", false, 3000);
-  r.says("p2", false, 2000);
+  r.advertises("p1", false, 3000);
+  r.advertises("p2", false, 2000);
   mt_ms_t least = 100000, most = 0;
   for (uint64_t i = 1; i <= 50; i++) {
     EXPECT_EQ(r.placed_at(i), "");
-    EXPECT_EQ(r.refusal(), MT_RELAY_RESTING);
+    EXPECT_EQ(r.refusal(), MT_RELAY_BACKOFF);
     mt_ms_t after = r.find(MT_RELAY_DO_REFUSE, i)->u.refuse.retry_after;
     least = std::min(least, after);
     most = std::max(most, after);
@@ -317,23 +318,23 @@
 // The relay records when it last refused a request for lack of an engine.
 TEST(EngineDrainBackoff, LackOfEnginesIsRecorded) {
   NoticeRelay r(2);
-  EXPECT_EQ(r.relay->lacked, 0u);
-  r.says("p1", false, 3000);
+  EXPECT_EQ(r.relay->no_engine_at, 0u);
+  r.advertises("p1", false, 3000);
   EXPECT_EQ(r.placed_at(1), "p2");
-  EXPECT_EQ(r.relay->lacked, 0u);
-  r.says("p2", true, 0);
+  EXPECT_EQ(r.relay->no_engine_at, 0u);
+  r.advertises("p2", true, 0);
   EXPECT_EQ(r.placed_at(2), "");
-  EXPECT_EQ(r.relay->lacked, r.now);
+  EXPECT_EQ(r.relay->no_engine_at, r.now);
 }
 
 // A caller need not wait for a backoff while another engine is available.
 TEST(EngineDrainBackoff, RetryAfterIgnoresBackoffWhileAnEngineIsAvailable) {
   NoticeRelay r(2);
-  r.says("p1", false, 3000);
+  r.advertises("p1", false, 3000);
   EXPECT_EQ(r.placed_at(1), "p2");
   r.sent(1);
   r.head(1, 503, false, MT_RELAY_NOT_RUN);
-  EXPECT_EQ(r.refusal(), MT_RELAY_SHED);
+  EXPECT_EQ(r.refusal(), MT_RELAY_REJECTED);
   EXPECT_LT(r.find(MT_RELAY_DO_REFUSE, 1)->u.refuse.retry_after, 400u);
 }
 
@@ -343,7 +344,7 @@
   for (uint64_t i = 1; i <= 3; i++) {
     EXPECT_EQ(r.placed_at(i, "/once/x"), "p1");
     r.sent(i);
-    r.says("p1", false, 1000);
+    r.advertises("p1", false, 1000);
     r.head(i, 503);
     r.end(i);
     r.now += 1100;
@@ -356,13 +357,13 @@
 // later here, sends it requests too many (four in one run).
 TEST(EngineDrainBackoff, BackoffSurvivesARestart) {
   NoticeRelay r(1);
-  r.says("p1", false, 3000);
+  r.advertises("p1", false, 3000);
   r.now += 70;
   mt_engine_restarted(r.find("p1"));
-  r.says("p1", false, 1000);
+  r.advertises("p1", false, 1000);
   r.now += 1200;
   EXPECT_EQ(r.placed_at(1), "");
-  EXPECT_EQ(r.refusal(), MT_RELAY_RESTING);
+  EXPECT_EQ(r.refusal(), MT_RELAY_BACKOFF);
 }
 
 // }==
--- a/tests/far_round_test.cc
+++ b/tests/far_round_test.cc
@@ -1,5 +1,4 @@
-// far_round_test.cc - which requests leave their failure domain, and for
-// where.
+// far_round_test.cc - requests that go to remote failure domains
 #include <gtest/gtest.h>
 
 #include <set>
@@ -12,14 +11,14 @@
 
 namespace {
 
-// Engines m1 to m4 and p1 of the own domain d1, m5 to m8 and p2 of d2, m9 to
-// m12 and p3 of d3.
+// Engines m1 to m4 and p1 are in the local domain d1, m5 to m8 and p2 in d2,
+// m9 to m12 and p3 in d3.
 struct Fleet : Relay {
   Fleet() : Relay(12) {
     declare();
     relay->routers = 2;
-    relay->terms.far_part = 0.6;
-    relay->terms.far_part_over = 0.1;
+    relay->params.remote_wait_fraction = 0.6;
+    relay->params.remote_wait_fraction_over_share = 0.1;
     for (int i = 1; i <= 12; i++) {
       place(m(i), (i + 3) / 4);
       mt_engine_t *p = find("p" + std::to_string(i));
@@ -42,9 +41,10 @@
   mt_id_t domain_of (uint64_t key) {
     return mt_engines_get(&relay->engines, key)->domain_id;
   }
-  // The owners that were asked answer; `near`, `remote`: unread at engines.
-  void answer (uint64_t number, int64_t near, int64_t remote,
-               int running = 0) {
+  // The asked owners reply with these loads: pending prefill tokens at local
+  // and at remote engines, and running requests at local ones.
+  void reply (uint64_t number, int64_t near, int64_t remote,
+              int running = 0) {
     std::vector<mt_relay_quote_t> quotes;
     for (uint64_t key : asked(number)) {
       bool away = mt_engines_get(&relay->engines, key)->remote;
@@ -66,66 +66,67 @@
   }
 };
 
-const int64_t full = 500000; // unread tokens: seconds of work
+const int64_t full = 500000; // pending prefill tokens: seconds of work
 
-TEST(FarRound, OneHomeOfEachOtherDomainIsAsked) {
+TEST(FarRound, OneHomePerRemoteDomainIsAsked) {
   Fleet w;
   w.ask(1, "/stream/x");
-  w.answer(1, full, full);
+  w.reply(1, full, full);
   std::vector<uint64_t> first = w.asked(1);
   ASSERT_EQ(first.size(), 2u);
   EXPECT_NE(w.domain_of(first[0]), w.domain_of(first[1]));
   EXPECT_TRUE(mt_engines_get(&w.relay->engines, first[0])->remote);
   EXPECT_TRUE(mt_engines_get(&w.relay->engines, first[1])->remote);
-  // All requests with the same shared part ask the same engines, unless one
-  // of them, the home of all, was asked in the first round.
+  // Requests with the same shared segments ask the same engines, unless the
+  // home of the fleet was already asked in the first round.
   Fleet other;
   other.ask(2, "/stream/x");
-  other.answer(2, full, full);
+  other.reply(2, full, full);
   std::vector<uint64_t> second = other.asked(2);
   EXPECT_EQ(std::set<uint64_t>(first.begin(), first.end()),
             std::set<uint64_t>(second.begin(), second.end()));
 }
 
-TEST(FarRound, RoomAbroadIsLessThanAtHome) {
+TEST(FarRound, WaitLimitIsLowerInRemoteDomains) {
   struct Row {
     const char *what;
-    double part_of_limit; // that one would wait abroad
-    double standing;      // of the workspace
+    double part_of_limit; // expected wait in remote domains
+    double service_ratio; // of the workspace
     bool taken;
   } rows[] = {{"idle engines", 0, 0.5, true},
               {"half of the limit", 0.5, 0.5, true},
-              {"most of it", 0.8, 0.5, false},
-              {"idle, for one beyond its share", 0, 1.2, true},
-              {"half, for one beyond its share", 0.5, 1.2, false}};
+              {"most of the limit", 0.8, 0.5, false},
+              {"idle engines, beyond the share", 0, 1.2, true},
+              {"half of the limit, beyond the share", 0.5, 1.2, false}};
   for (const Row &row : rows) {
     Fleet w;
     mt_share_t *share = mt_fair_share_get(&w.relay->shares, mtV_id("w1", 2));
     w.relay->shares.level = 100000;
-    share->peers.served = row.standing * 100000;
+    share->peers.served = row.service_ratio * 100000;
     double limit =
-        600 * w.relay->terms.wait_part; // of the shortest objective
-    double ms_per_token = 1 / mt_relay_rate(w.relay, mtV_id("model", 5));
+        600 * w.relay->params.wait_fraction; // 600 ms: the shortest objective
+    double ms_per_token =
+        1 / mt_relay_prefill_rate(w.relay, mtV_id("model", 5));
     w.ask(1, "/stream/x");
-    w.answer(1, full, full);
+    w.reply(1, full, full);
     ASSERT_FALSE(w.asked(1).empty()) << row.what;
-    w.answer(1, full, (int64_t)(row.part_of_limit * limit / ms_per_token));
+    w.reply(1, full, (int64_t)(row.part_of_limit * limit / ms_per_token));
     EXPECT_EQ(w.started(1) != 0, row.taken) << row.what;
     EXPECT_EQ(w.refusal() != MT_RELAY_REFUSAL_COUNT, !row.taken) << row.what;
   }
 }
 
-// What owners told of a domain is not asked for again at once.
-TEST(FarRound, ADomainThatWasFullIsLeftAlone) {
+// A domain that was full by recent quotes is not asked again at once.
+TEST(FarRound, RecentlyFullDomainIsNotAsked) {
   struct Row {
     const char *what;
-    int64_t pending_prefill; // at its engines, as told
+    int64_t pending_prefill; // at its engines, by the quotes
     mt_ms_t ago;
     bool asked;
-  } rows[] = {{"it was full just now", full, 0, false},
-              {"it was full lately", full, 2000, false},
-              {"that is long ago", full, 2001, true},
-              {"it had room", 10, 100, true}};
+  } rows[] = {{"full just now", full, 0, false},
+              {"full, still valid", full, 2000, false},
+              {"full, expired", full, 2001, true},
+              {"had room", 10, 100, true}};
   for (const Row &row : rows) {
     Fleet w;
     w.ask(1, "/stream/x");
@@ -134,27 +135,27 @@
       const mt_engine_load_t load = {row.pending_prefill, 0, 0};
       mt_domain_loads_learn(w.relay, w.m(i), &load);
     }
-    // The home of all may be abroad; it says the same.
-    w.answer(1, full, row.pending_prefill);
+    // The home of the fleet may be in another domain: the same load there.
+    w.reply(1, full, row.pending_prefill);
     EXPECT_EQ(!w.asked(1).empty(), row.asked) << row.what;
     EXPECT_EQ(w.refusal() != MT_RELAY_REFUSAL_COUNT, !row.asked) << row.what;
   }
 }
 
-TEST(FarRound, RequestsWithoutAPromptStayUnlessTheyWouldWait) {
+TEST(FarRound, PromptlessRequestsLeaveOnlyWhenTheyWouldWait) {
   struct Row {
     const char *what;
-    int running; // at the own domain's engine, of 4 slots
+    int running; // of 4 slots, at the engine in the local domain
     int failures;
     bool leaves;
-  } rows[] = {{"slots are free", 2, 0, false},
-              {"none is", 4, 0, true},
-              {"it has just failed another", 0, 1, true}};
+  } rows[] = {{"free slots", 2, 0, false},
+              {"no free slot", 4, 0, true},
+              {"the last request there failed", 0, 1, true}};
   for (const Row &row : rows) {
     Fleet w;
     mt_engine_t *near = w.find("p1");
     near->failures = row.failures;
-    mt_relay_ask_t a{};
+    mt_relay_incoming_t a{};
     std::string id = "r1", host = "h.example", path = "/again/x",
                 key = "key-w1";
     a.id = {id.data(), id.size()};
@@ -169,24 +170,24 @@
     event.u.ask = &a;
     w.step(event);
     ASSERT_EQ(w.asked(1), std::vector<uint64_t>{near->key}) << row.what;
-    w.answer(1, 0, 0, row.running);
+    w.reply(1, 0, 0, row.running);
     if (row.leaves) {
       EXPECT_EQ(w.asked(1).size(), 2u) << row.what;
-      w.answer(1, 0, 0);
+      w.reply(1, 0, 0);
     }
     ASSERT_NE(w.started(1), 0u) << row.what;
     EXPECT_EQ(w.started(1) != near->key, row.leaves) << row.what;
   }
-  // Without an engine of its own the domain asks others at once.
+  // Without an engine in the local domain remote ones are asked at once.
   Fleet w;
   w.find("p1")->state = MT_ENGINE_GONE;
   w.ask(1, "/again/x");
   EXPECT_EQ(w.asked(1).size(), 2u);
-  w.answer(1, 0, 0);
+  w.reply(1, 0, 0);
   EXPECT_NE(w.started(1), 0u);
 }
 
-TEST(DomainLoad, FollowsWhatOwnersTell) {
+TEST(DomainLoad, FollowsOwnersReports) {
   Fleet w;
   const mt_engine_load_t load = {1000, 0, 0}, none = {0, 0, 0};
   w.relay->now = 5;
@@ -199,7 +200,7 @@
   EXPECT_LT(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill, 1000);
   EXPECT_GT(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill, 500);
   EXPECT_EQ(mt_domain_loads_get(w.relay, w.m(6))->told, 9u);
-  // Any number of domains and services harms nothing.
+  // The table is bounded.
   mt_engine_t *e = w.m(9);
   for (int i = 0; i < 2 * MT_DOMAIN_LOADS_MAX; i++) {
     e->domain_id = (mt_id_t)(i + 1);
--- a/tests/mechanism_test.cc
+++ b/tests/mechanism_test.cc
@@ -1,4 +1,4 @@
-// mechanism_test.cc - mechanisms of the relay that settings switch off.
+// mechanism_test.cc - parts of the placement logic that settings switch off
 #include <gtest/gtest.h>
 
 #include "relay.h"
@@ -13,7 +13,7 @@
     "\"node\":\"n\",\"domain\":\"d\",\"callers\":\"127.0.0.1:0\",\"ready\":"
     "\"127.0.0.1:0\",\"metrics\":\"127.0.0.1:0\",\"peers\":\"127.0.0.1:0\"";
 
-TEST(Mechanisms, SettingsNameThem) {
+TEST(Mechanisms, SettingsSwitchThemOff) {
   struct Row {
     const char *off; // JSON
     bool valid;
@@ -33,18 +33,18 @@
         << row.off;
     EXPECT_EQ(faults.n > 0, !row.valid) << row.off;
     int count = 0;
-    for (bool off : set.terms.off) count += off;
+    for (bool off : set.params.off) count += off;
     EXPECT_EQ(count, row.count) << row.off;
     json_decref(doc);
   }
 }
 
-TEST(Mechanisms, WhatIsOffIsNotUsed) {
+TEST(Mechanisms, DisabledMechanismIsNotUsed) {
   const mt_prefix_segment_t part = {7, 4000};
   for (bool off : {false, true}) {
     Relay r(2);
     r.declare();
-    r.relay->terms.off[MT_RELAY_FETCH] = off;
+    r.relay->params.off[MT_RELAY_FETCH] = off;
     mt_engine_t *owner = r.find("m1");
     mt_prefix_cache_use(&owner->cached, &part, 1, 100000);
     owner->local.pending_prefill = 100000;
@@ -52,9 +52,9 @@
     EXPECT_EQ(r.find(MT_RELAY_DO_START)->u.start.source,
               off ? 0 : owner->key);
     owner->local.pending_prefill = 0;
-    r.relay->terms.off[MT_RELAY_PROBE] = off;
+    r.relay->params.off[MT_RELAY_PROBE] = off;
     mt_engine_set_reachable(owner, false, r.now);
-    r.pass(1100); // less with the effect of a probe
+    r.pass(1100); // ends earlier if there is a probe effect
     EXPECT_EQ(r.find(MT_RELAY_DO_PROBE) != nullptr, !off);
     EXPECT_EQ(owner->unreachable, !off);
   }
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -44,7 +44,7 @@
     in->members[in->members_count++] = {0x0a000001, 77, 1};
     in->shares[in->shares_count++] = {12, {1000, 500}};
     in->engines[in->engines_count++] = {
-        99, {10, 20, 3}, 400, 77, MT_ADMIT_PLACE};
+        99, {10, 20, 3}, 400, 77, MT_ADMIT_PERMIT};
     in->parts[in->parts_count++] = {5, 600};
     in->drains[in->drains_count++] = {99, 1780000000000, 700};
     in->spans[MT_FEED_ENGINES] = {4, 6};
@@ -112,7 +112,7 @@
       EXPECT_EQ(out->engines[0].load.running, 3);
       EXPECT_EQ(out->engines[0].tokens, 400);
       EXPECT_EQ(out->engines[0].holder, 77u);
-      EXPECT_EQ(out->engines[0].admission, MT_ADMIT_PLACE);
+      EXPECT_EQ(out->engines[0].admission, MT_ADMIT_PERMIT);
     }
     ASSERT_EQ(out->parts_count, 1u);
     EXPECT_EQ(out->parts[0].tokens, 600);
@@ -391,22 +391,23 @@
 // The load book is bounded: forged datagrams may report loads at any number
 // of engines that do not exist.
 TEST(LoadBook, EnginesFromDatagramsAreBounded) {
-  mt_load_table_t book{};
+  mt_load_table_t router_loads{};
   mt_load_row_t row{};
   row.router = 1;
   row.load.running = 1;
   row.valid_until = 2;
   for (uint64_t engine = 1; engine <= 40000; engine++)
-    mt_load_table_set(&book, engine, &row);
-  EXPECT_LE(book.engines.used, 16384u);
-  EXPECT_EQ(mt_load_table_sum(&book, 1, 0, 1).running, 1) << "first is kept";
-  mt_load_table_expire(&book, 2);
-  EXPECT_EQ(book.engines.used, 0u);
-  mt_load_table_free(&book);
+    mt_load_table_set(&router_loads, engine, &row);
+  EXPECT_LE(router_loads.engines.used, 16384u);
+  EXPECT_EQ(mt_load_table_sum(&router_loads, 1, 0, 1).running, 1)
+      << "first is kept";
+  mt_load_table_expire(&router_loads, 2);
+  EXPECT_EQ(router_loads.engines.used, 0u);
+  mt_load_table_free(&router_loads);
 }
 
 TEST(LoadBook, SumsWhatOthersHave) {
-  mt_load_table_t book{};
+  mt_load_table_t router_loads{};
   mt_load_row_t a{}, b{};
   a.router = 1;
   a.load = {100, 200, 3};
@@ -415,24 +416,25 @@
   b.router = 2;
   b.load = {10, 20, 1};
   b.valid_until = 90;
-  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 0); // nothing to compare with
+  EXPECT_EQ(mt_load_table_set(&router_loads, 7, &a),
+            0); // nothing to compare with
   a.tokens_processed = 1500;
-  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 500);
+  EXPECT_EQ(mt_load_table_set(&router_loads, 7, &a), 500);
   a.tokens_processed = 100; // the router has restarted
-  EXPECT_EQ(mt_load_table_set(&book, 7, &a), 0);
-  mt_load_table_set(&book, 7, &b);
-  mt_load_table_set(&book, 8, &b);
-  EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 40).pending_prefill, 110);
-  EXPECT_EQ(mt_load_table_sum(&book, 7, 1, 40).pending_prefill, 10);
-  EXPECT_EQ(mt_load_table_sum(&book, 7, 2, 40).running, 3);
-  EXPECT_EQ(mt_load_table_sum(&book, 9, 0, 40).held, 0);
-  EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 60).pending_prefill,
+  EXPECT_EQ(mt_load_table_set(&router_loads, 7, &a), 0);
+  mt_load_table_set(&router_loads, 7, &b);
+  mt_load_table_set(&router_loads, 8, &b);
+  EXPECT_EQ(mt_load_table_sum(&router_loads, 7, 0, 40).pending_prefill, 110);
+  EXPECT_EQ(mt_load_table_sum(&router_loads, 7, 1, 40).pending_prefill, 10);
+  EXPECT_EQ(mt_load_table_sum(&router_loads, 7, 2, 40).running, 3);
+  EXPECT_EQ(mt_load_table_sum(&router_loads, 9, 0, 40).held, 0);
+  EXPECT_EQ(mt_load_table_sum(&router_loads, 7, 0, 60).pending_prefill,
             10); // a has expired
-  mt_load_table_expire(&book, 60);
-  EXPECT_EQ(mt_load_table_sum(&book, 7, 0, 40).pending_prefill, 10);
-  mt_load_table_expire(&book, 100);
-  EXPECT_EQ(book.engines.used, 0u);
-  mt_load_table_free(&book);
+  mt_load_table_expire(&router_loads, 60);
+  EXPECT_EQ(mt_load_table_sum(&router_loads, 7, 0, 40).pending_prefill, 10);
+  mt_load_table_expire(&router_loads, 100);
+  EXPECT_EQ(router_loads.engines.used, 0u);
+  mt_load_table_free(&router_loads);
 }
 
 struct Reports {
@@ -510,7 +512,7 @@
 std::vector<uint64_t> asked (Relay &w, uint64_t number) {
   std::vector<uint64_t> keys;
   auto *r = (mt_relay_request_t *)mtV_get(&w.relay->requests, number);
-  if (r == nullptr || !w.find(MT_RELAY_DO_ASK, number)) return keys;
+  if (r == nullptr || !w.find(MT_RELAY_DO_GET_QUOTES, number)) return keys;
   for (size_t i = 0; i < r->candidates_count; i++)
     keys.push_back(r->candidates[i].engine);
   return keys;
@@ -619,8 +621,8 @@
     Relay w(16);
     w.declare();
     w.relay->routers = 2;
-    w.relay->terms.cross_ms = 15;
-    w.relay->terms.off[MT_RELAY_FAR_ROUND] = row.off;
+    w.relay->params.cross_domain_ms = 15;
+    w.relay->params.off[MT_RELAY_FAR_ROUND] = row.off;
     std::set<uint64_t> remote;
     for (int i = 1; i <= 16; i++) {
       mt_engine_t *e = w.find("m" + std::to_string(i));
@@ -687,7 +689,7 @@
   w.relay->routers = 2;
   w.ask(1, "/stream/x");
   std::vector<uint64_t> keys = asked(w, 1);
-  w.step(w.of(MT_RELAY_CALLER_LEFT, 1));
+  w.step(w.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
   EXPECT_EQ(w.relay->count, 0u);
   quote(w, 1, {quote_of(keys[0], 0)}); // late, has no effect
   EXPECT_EQ(w.effects.count, 0u);
@@ -704,7 +706,7 @@
   row.load = {700, 50, 2};
   row.valid_until = w.now + 1000;
   w.relay->now = w.now;
-  mt_relay_heard_load(w.relay, e->key, &row, parts, 2);
+  mt_relay_update_peer_load(w.relay, e->key, &row, parts, 2);
   e->local = {30, 0, 1};
   mt_relay_quote_t own = mt_relay_quote(w.relay, e->key, 0, parts, 2);
   EXPECT_EQ(own.peers.pending_prefill, 700);
@@ -725,12 +727,15 @@
     bool served;
   } rows[] = {
       {"caller left before an event",
-       [] (Relay &w) { w.step(w.of(MT_RELAY_CALLER_LEFT, 1)); }, false},
+       [] (Relay &w) {
+         w.step(w.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
+       },
+       false},
       {"caller left after an event",
        [] (Relay &w) {
          w.head(1, 200, true);
          w.event(1, 0);
-         w.step(w.of(MT_RELAY_CALLER_LEFT, 1));
+         w.step(w.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
        },
        true},
       {"engine lost before an event",
--- a/tests/prefill_time_test.cc
+++ b/tests/prefill_time_test.cc
@@ -106,7 +106,7 @@
     r.end(i);
     r.pass(25);
   }
-  EXPECT_NEAR(mt_relay_rate(r.relay, mtV_id("model", 5)), 100, 20);
+  EXPECT_NEAR(mt_relay_prefill_rate(r.relay, mtV_id("model", 5)), 100, 20);
 }
 
 } // namespace
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -16,11 +16,11 @@
   void ask_suspect (uint64_t number, const char *path = "/once/x") {
     ask(number, path, "key-w1", 5000, 1000, "h.example", kDigest);
   }
-  const mt_suspect_message_t *word (mt_suspect_message_kind_t kind) const {
+  const mt_suspect_message_t *message (mt_suspect_message_kind_t kind) const {
     for (size_t i = 0; i < effects.count; i++)
-      if (effects.list[i].kind == MT_RELAY_DO_TELL &&
-          effects.list[i].u.word.kind == kind)
-        return &effects.list[i].u.word;
+      if (effects.list[i].kind == MT_RELAY_DO_SEND_TO_OWNER &&
+          effects.list[i].u.message.kind == kind)
+        return &effects.list[i].u.message;
     return nullptr;
   }
   uint64_t started () const {
@@ -41,17 +41,17 @@
     const mt_suspect_message_t asked = {kind,  digest(), engine, number,
                                         false, 0,        0};
     mt_relay_event_t event{};
-    event.kind = MT_RELAY_TRIED;
+    event.kind = MT_RELAY_TRIAL_ANSWERED;
     event.request = number;
-    event.u.tried.word = &asked;
+    event.u.tried.message = &asked;
     event.u.tried.verdict = verdict;
     step(event);
   }
   // Both owners grant their leases; returns the engine that it is sent to.
   uint64_t granted (uint64_t number) {
     tried(number, MT_TRIAL_GRANTED);
-    if (word(MT_SUSPECT_MESSAGE_LEASE_ENGINE) == nullptr) return 0;
-    uint64_t engine = word(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
+    if (message(MT_SUSPECT_MESSAGE_LEASE_ENGINE) == nullptr) return 0;
+    uint64_t engine = message(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
     tried(number, MT_TRIAL_GRANTED, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
     EXPECT_EQ(started(), engine);
     return engine;
@@ -98,19 +98,19 @@
     bool tries = r.find(MT_RELAY_DO_PROBE) != nullptr;
     EXPECT_EQ(tries, row.sent);
     r.probed(engine, row.up, row.refused);
-    bool reported = r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
+    bool reported = r.message(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
     if (row.gone) {
       mt_engine_t *e = mt_engines_get(&r.relay->engines, engine);
-      mt_relay_engine_left(r.relay, e, r.now, r.now);
+      mt_relay_engine_unlisted(r.relay, e, r.now, r.now);
       r.pass(25);
-      reported = r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
+      reported = r.message(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
     }
     EXPECT_EQ(reported, row.reported);
     if (!reported) continue;
-    EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_ENDED)->digest,
+    EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_ENDED)->digest,
               QuarantineRelay::digest());
-    EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_ENDED)->engine, engine);
-    EXPECT_FALSE(r.word(MT_SUSPECT_MESSAGE_ENDED)->alone);
+    EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_ENDED)->engine, engine);
+    EXPECT_FALSE(r.message(MT_SUSPECT_MESSAGE_ENDED)->alone);
   }
 }
 
@@ -122,10 +122,10 @@
   r.sent(1);
   r.fail(1);
   r.probed(engine, false, true);
-  int reported = r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
+  int reported = r.message(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
   for (int i = 0; i < 400; i++) {
     r.pass(25);
-    reported += r.word(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
+    reported += r.message(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
   }
   EXPECT_EQ(reported, 3);
   EXPECT_EQ(r.relay->lost.count, 0u);
@@ -162,8 +162,8 @@
     QuarantineRelay r;
     r.set_state(MT_SUSPICION_PROBATION);
     r.ask_suspect(1);
-    ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_LEASE), nullptr);
-    EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_LEASE)->request, 1u);
+    ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_LEASE), nullptr);
+    EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_LEASE)->request, 1u);
     EXPECT_EQ(r.started(), 0u);
     if (row.verdict == MT_TRIAL_GRANTED) {
       EXPECT_NE(r.granted(1), 0u);
@@ -183,7 +183,7 @@
   struct Row {
     const char *what;
     int outcome;
-    mt_suspect_message_kind_t word;
+    mt_suspect_message_kind_t message;
   } rows[] = {{"answered completely", 0, MT_SUSPECT_MESSAGE_ANSWERED},
               {"its caller left", 1, MT_SUSPECT_MESSAGE_RELEASE},
               {"its engine ended", 2, MT_SUSPECT_MESSAGE_ENDED},
@@ -195,9 +195,9 @@
     r.set_state(MT_SUSPICION_PROBATION);
     r.ask_suspect(1, "/again/x");
     if (row.outcome == 4) {
-      r.step(r.of(MT_RELAY_CALLER_LEFT, 1));
+      r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
       r.tried(1, MT_TRIAL_GRANTED);
-      EXPECT_NE(r.word(row.word), nullptr);
+      EXPECT_NE(r.message(row.message), nullptr);
       continue;
     }
     uint64_t engine = r.granted(1);
@@ -207,19 +207,20 @@
       r.head(1, 200);
       r.end(1);
     } else if (row.outcome == 1) {
-      r.step(r.of(MT_RELAY_CALLER_LEFT, 1));
+      r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
     } else {
       r.fail(1);
       EXPECT_EQ(r.started(), 0u); // no retry at another engine
-      EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
+      EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
       r.probed(engine, row.outcome == 3, row.outcome == 2);
-      for (int i = 0; i < 240 && r.word(row.word) == nullptr; i++) r.pass(25);
+      for (int i = 0; i < 240 && r.message(row.message) == nullptr; i++)
+        r.pass(25);
     }
-    const mt_suspect_message_t *word = r.word(row.word);
-    ASSERT_NE(word, nullptr);
-    EXPECT_EQ(word->digest, QuarantineRelay::digest());
-    EXPECT_EQ(word->alone, row.outcome == 2);
-    EXPECT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE),
+    const mt_suspect_message_t *message = r.message(row.message);
+    ASSERT_NE(message, nullptr);
+    EXPECT_EQ(message->digest, QuarantineRelay::digest());
+    EXPECT_EQ(message->alone, row.outcome == 2);
+    EXPECT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE),
               nullptr); // in every case
   }
 }
@@ -235,7 +236,7 @@
   r.set_state(MT_SUSPICION_PROBATION);
   r.ask_suspect(1);
   EXPECT_EQ(r.granted(1), r.find("p3")->key);
-  r.step(r.of(MT_RELAY_CALLER_LEFT, 1));
+  r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
   r.ask_suspect(2, "/stream/x");
   EXPECT_EQ(r.granted(2), r.find("m2")->key);
 }
@@ -246,23 +247,23 @@
   r.set_state(MT_SUSPICION_PROBATION);
   r.ask_suspect(1);
   r.tried(1, MT_TRIAL_GRANTED);
-  ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_LEASE_ENGINE), nullptr);
-  uint64_t engine = r.word(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
+  ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_LEASE_ENGINE), nullptr);
+  uint64_t engine = r.message(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
   r.tried(1, MT_TRIAL_BUSY, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
   EXPECT_EQ(r.refusal(), MT_RELAY_ON_PROBATION);
-  EXPECT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
-  EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
+  EXPECT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
+  EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
   // A lease granted too late is released, and so is one whose request is
   // over.
   r.tried(1, MT_TRIAL_GRANTED, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
-  ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
-  EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
+  ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
+  EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
   r.ask_suspect(2);
   engine = r.granted(2);
-  r.step(r.of(MT_RELAY_CALLER_LEFT, 2));
-  ASSERT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
-  EXPECT_EQ(r.word(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
-  EXPECT_NE(r.word(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
+  r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 2));
+  ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
+  EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
+  EXPECT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE), nullptr);
 }
 
 // An engine that fails requests stays suspended though connections come up.
--- a/tests/rejection_test.cc
+++ b/tests/rejection_test.cc
@@ -1,4 +1,4 @@
-// rejection_test.cc - requests that an engine rejects without running them
+// rejection_test.cc - requests that engines reject without running them
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// How an attempt ends before its answer.
+// Ways in which an attempt ends without a response.
 enum class End { REJECTED, NOT_SENT, LOST };
 
 class Rejecting : public Relay {
@@ -17,7 +17,7 @@
     declare();
   }
   using Relay::find;
-  // The engine of the attempt that was started in the last step, or nullptr.
+  // The engine of the attempt started in the last step, or nullptr.
   mt_engine_t *started (uint64_t number) const {
     const mt_relay_effect_t *fx = Relay::find(MT_RELAY_DO_START, number);
     if (fx == nullptr) return nullptr;
@@ -33,14 +33,14 @@
   }
 };
 
-// Retries passed over the wait limit, so that a few engines that still took
-// work had queues of seconds, where nobody was served in time.
-TEST(Rejection, ARetryNeedsRoomLikeAFirstAttempt) {
+// Retries were not subject to the wait limit: the few engines that still took
+// work got queues of seconds, and all requests there were late.
+TEST(Rejection, RetryNeedsRoomLikeAFirstAttempt) {
   struct Row {
     const char *what;
     const char *path;
     End end;
-    int64_t queued; // tokens at the other engine
+    int64_t queued; // prompt tokens at the other engine
     bool retried;
   } rows[] = {
       {"rejected, room elsewhere", "/stream/x", End::REJECTED, 0, true},
@@ -49,9 +49,9 @@
       {"not sent, room elsewhere", "/stream/x", End::NOT_SENT, 0, true},
       {"not sent, a queue elsewhere", "/stream/x", End::NOT_SENT, 100000,
        false},
-      {"work already done is not given up", "/stream/x", End::LOST, 100000,
-       true},
-      {"a service that has no prompts", "/again/x", End::REJECTED, 0, true},
+      {"a run that was lost, a queue elsewhere", "/stream/x", End::LOST,
+       100000, true},
+      {"a service without prompts", "/again/x", End::REJECTED, 0, true},
   };
   for (const Row &row : rows) {
     Rejecting r(2);
@@ -68,21 +68,21 @@
 }
 
 // An engine that rejected nearly everything looked idle and got as much work
-// as any other, while sound engines had room.
-TEST(Rejection, EnginesThatRejectAttractNoWork) {
+// as any other, although other engines had room.
+TEST(Rejection, RejectingEngineAttractsNoWork) {
   struct Row {
     const char *what;
-    int rejected, taken; // by m1, in this order
-    mt_ms_t later;       // ms since
-    int64_t queued;      // tokens at m2
-    const char *engine;  // that a request goes to
+    int rejected, taken; // requests at m1, in this order
+    mt_ms_t later;       // time since then
+    int64_t queued;      // prompt tokens at m2
+    const char *engine;  // that gets the request
   } rows[] = {
-      {"it is idle", 0, 0, 0, 2000, "m1"},
-      {"it rejected a few", 3, 0, 0, 2000, "m2"},
-      {"it rejected many", 10, 0, 0, 2000, "m2"},
-      {"it rejected many, others are full", 10, 0, 0, 100000, "m1"},
-      {"it takes work again", 10, 20, 0, 2000, "m1"},
-      {"that was long ago", 10, 0, 10000, 2000, "m1"},
+      {"idle", 0, 0, 0, 2000, "m1"},
+      {"rejected a few", 3, 0, 0, 2000, "m2"},
+      {"rejected many", 10, 0, 0, 2000, "m2"},
+      {"rejected many, the other is full", 10, 0, 0, 100000, "m1"},
+      {"takes work again", 10, 20, 0, 2000, "m1"},
+      {"rejected many, long ago", 10, 0, 10000, 2000, "m1"},
   };
   for (const Row &row : rows) {
     Rejecting r(2);
@@ -91,7 +91,7 @@
       mt_engine_request_rejected(e, r.now);
     for (int i = 0; i < row.taken; i++)
       mt_engine_request_accepted(e, r.now, r.now);
-    r.now += std::max(row.later, (mt_ms_t)100); // behind the hold
+    r.now += std::max(row.later, (mt_ms_t)100); // after the hold
     r.find("m2")->peers.pending_prefill = row.queued;
     r.ask(1, "/stream/x");
     ASSERT_NE(r.started(1), nullptr) << row.what;
@@ -99,13 +99,13 @@
   }
 }
 
-// Whoever asked most also had most of the retries, which were then denied to
-// workspaces that had got little of what they asked.
-TEST(Rejection, RetriesAreForWorkspacesBelowTheirShare) {
+// The workspace that sent most also used most of the retry budget, so that
+// workspaces that had got little were denied retries.
+TEST(Rejection, RetriesGoToWorkspacesBelowTheirShare) {
   struct Row {
     const char *what;
-    double served; // thousands of tokens a second, of a level of 10
-    double others; // likewise, got by the other workspace
+    double served; // 1000 tokens per second, with a fair share of 10
+    double others; // the same of the other workspace
     End end;
     bool retried;
   } rows[] = {
@@ -113,7 +113,7 @@
       {"above its share", 12, 5, End::REJECTED, false},
       {"above its share, not sent", 12, 5, End::NOT_SENT, true},
       {"above its share, lost", 12, 5, End::LOST, true},
-      {"nobody is short", 100, 100, End::REJECTED, true},
+      {"all demand is met", 100, 100, End::REJECTED, true},
   };
   for (const Row &row : rows) {
     Rejecting r(2);
@@ -130,8 +130,8 @@
   }
 }
 
-// What an earlier start rejected is no reason to pass over the present one.
-TEST(Rejection, AStartIsJudgedByItself) {
+// Rejections by an engine's previous process do not count after a restart.
+TEST(Rejection, RestartClearsTheRejectionRate) {
   Rejecting r(1);
   mt_engine_t *e = r.find("m1");
   for (int i = 0; i < 10; i++) mt_engine_request_rejected(e, r.now);
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -1,4 +1,4 @@
-// relay.h - the relay's reducer with its clock, fed by hand.
+// relay.h - test fixture: a relay whose clock and events the test controls.
 #ifndef tests_relay_h
 #define tests_relay_h
 
@@ -11,7 +11,9 @@
 #include "relay.h"
 }
 
-// Routes: /once, /again, /stream (resumable), /events (not), /open, /slow.
+// A catalog with the routes /once/, /again/, /stream/ (resumable), /events/
+// (not resumable), /open/ (no key needed) and /again/deep/, the services
+// plain and model, and the workspaces w1 and w2.
 inline mt_catalog_t *declared (int64_t version) {
   mt_catalog_t *c = mt_catalog_new(version);
   struct Row {
@@ -61,18 +63,18 @@
   mt_relay_effects_t effects{};
 
   explicit Relay(int engines = 3) {
-    mt_relay_terms_t terms{};
-    terms.retry = {0.2, 10000, 50};
-    terms.running_most = 8192;
-    terms.wait_part = 0.5;
-    terms.urgency_power = 1;
-    terms.over_power = 10;
-    terms.room_part = 0.2;
-    terms.miss_weight = 10;
-    terms.miss_weight_easy = 5;
-    terms.move_weight = 3;
-    terms.vanish_ms = 1200;
-    relay = mt_relay_new("d1", &terms);
+    mt_relay_params_t params{};
+    params.retry = {0.2, 10000, 50};
+    params.max_running = 8192;
+    params.wait_fraction = 0.5;
+    params.objective_power = 1;
+    params.over_share_power = 10;
+    params.near_idle_fraction = 0.2;
+    params.miss_weight = 10;
+    params.miss_weight_relaxed = 5;
+    params.kv_transfer_weight = 3;
+    params.unlisted_grace_ms = 1200;
+    relay = mt_relay_new("d1", &params);
     for (int i = 1; i <= engines; i++) {
       engine("m" + std::to_string(i), "model", 64);
       engine("p" + std::to_string(i), "plain", 4);
@@ -95,27 +97,30 @@
     return mt_engines_get(&relay->engines,
                           mt_engine_key(name.data(), name.size()));
   }
+  // Puts the catalog above in force.
   void declare (int64_t version = 1) {
-    mt_relay_declare(relay, declared(version));
+    mt_relay_set_catalog(relay, declared(version));
   }
   void step (mt_relay_event_t event) {
     event.now = now;
     effects.count = 0;
     mt_relay_step(relay, &event, &effects);
   }
+  // Advances the clock in ticks of 25 ms, up to the first tick with effects.
   void pass (mt_ms_t ms) {
     for (mt_ms_t end = now + ms; now < end;) {
       now = std::min(now + 25, end);
       mt_relay_event_t tick{};
       tick.kind = MT_RELAY_TICK;
       step(tick);
-      if (effects.count > 0) return; // whoever waits for them looks at them
+      if (effects.count > 0) return; // for the test to inspect
     }
   }
+  // A request whose prompt has two segments; all requests share the first.
   void ask (uint64_t number, const char *path, const char *key = "key-w1",
             int64_t deadline = 5000, int64_t tokens = 1000,
             const char *host = "h.example", uint64_t digest = 0) {
-    mt_relay_ask_t a{};
+    mt_relay_incoming_t a{};
     a.digest = digest;
     std::string id = "r" + std::to_string(number);
     a.id = {id.data(), id.size()};
@@ -139,8 +144,8 @@
     auto *r = (mt_relay_request_t *)mtV_get(&relay->requests, number);
     return r ? r->attempt : 0;
   }
-  mt_relay_event_t of (mt_relay_event_kind_t kind, uint64_t number,
-                       int attempt_no = 0) {
+  mt_relay_event_t make_event (mt_relay_event_kind_t kind, uint64_t number,
+                               int attempt_no = 0) {
     mt_relay_event_t event{};
     event.kind = kind;
     event.request = number;
@@ -148,11 +153,11 @@
     return event;
   }
   void sent (uint64_t number) {
-    step(of(MT_RELAY_GONE_OUT, number));
+    step(make_event(MT_RELAY_WRITTEN, number));
   }
   void head (uint64_t number, int status, bool events = false,
              mt_relay_verdict_t verdict = MT_RELAY_RAN, bool framed = true) {
-    mt_relay_event_t event = of(MT_RELAY_HEAD, number);
+    mt_relay_event_t event = make_event(MT_RELAY_HEAD, number);
     event.u.head.status = status;
     event.u.head.events = events;
     event.u.head.verdict = verdict;
@@ -160,7 +165,7 @@
     step(event);
   }
   void data (uint64_t number, const std::string &text) {
-    mt_relay_event_t event = of(MT_RELAY_DATA, number);
+    mt_relay_event_t event = make_event(MT_RELAY_DATA, number);
     event.u.data = {text.data(), text.size()};
     step(event);
   }
@@ -168,10 +173,10 @@
     data(number, "id: " + std::to_string(id) + "\ndata: x\n\n");
   }
   void end (uint64_t number) {
-    step(of(MT_RELAY_END, number));
+    step(make_event(MT_RELAY_END, number));
   }
   void fail (uint64_t number, bool not_sent = false) {
-    mt_relay_event_t event = of(MT_RELAY_FAILED, number);
+    mt_relay_event_t event = make_event(MT_RELAY_FAILED, number);
     event.u.not_sent = not_sent;
     step(event);
   }
@@ -183,20 +188,22 @@
         return &effects.list[i];
     return nullptr;
   }
-  // The engines whose owners a request asks in this step.
+  // Engines whose owners the request asked for quotes in this step.
   std::vector<uint64_t> asked (uint64_t number) const {
     std::vector<uint64_t> keys;
     auto *r = (mt_relay_request_t *)mtV_get(&relay->requests, number);
-    if (r == nullptr || find(MT_RELAY_DO_ASK, number) == nullptr) return keys;
+    if (r == nullptr || find(MT_RELAY_DO_GET_QUOTES, number) == nullptr)
+      return keys;
     for (size_t i = r->round_first; i < r->candidates_count; i++)
       keys.push_back(r->candidates[i].engine);
     return keys;
   }
-  // The refusal's reason, or MT_RELAY_REFUSAL_COUNT.
+  // Reason of the refusal in this step, or MT_RELAY_REFUSAL_COUNT.
   mt_relay_refusal_t refusal () const {
     const mt_relay_effect_t *fx = find(MT_RELAY_DO_REFUSE);
     return fx ? fx->u.refuse.why : MT_RELAY_REFUSAL_COUNT;
   }
+  // True if no engine has any load.
   bool idle () const {
     for (size_t i = 0; i < relay->engines.count; i++) {
       const mt_engine_load_t &l = relay->engines.list[i]->local;
