--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -1,4 +1,4 @@
-// relay_test.cc - relayed requests: refusals, retries, streams, stops.
+// relay_test.cc - the relay's reducer: refusals, retries, streams, shutdown.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,19 +10,21 @@
 
 namespace {
 
-TEST(RelayAdmission, RefusesAtTheDoorWithTheReason) {
+TEST(RelayAdmission, RefusesWithTheReason) {
   struct Row {
     const char *path, *key, *host;
-    bool declared, unsure;
+    bool declared, config_maybe_stale;
     mt_relay_refusal_t why;
   } rows[] = {
       {"/again/x", "key-w1", "h.example", false, false, MT_RELAY_NO_CATALOG},
       {"/none/x", "key-w1", "h.example", true, false, MT_RELAY_NO_ROUTE},
       {"/again/x", "key-w1", "x.example", true, false, MT_RELAY_NO_ROUTE},
-      {"/none/x", "key-w1", "h.example", true, true, MT_RELAY_UNSURE},
+      {"/none/x", "key-w1", "h.example", true, true,
+       MT_RELAY_CONFIG_MAYBE_STALE},
       {"/again/x", "wrong", "h.example", true, false, MT_RELAY_BAD_KEY},
       {"/again/x", "", "h.example", true, false, MT_RELAY_BAD_KEY},
-      {"/again/x", "wrong", "h.example", true, true, MT_RELAY_UNSURE},
+      {"/again/x", "wrong", "h.example", true, true,
+       MT_RELAY_CONFIG_MAYBE_STALE},
       {"/open/x", "", "h.example", true, false, MT_RELAY_REFUSAL_COUNT},
       {"/again/x", "other-key-w1", "H.EXAMPLE:80", true, false,
        MT_RELAY_REFUSAL_COUNT},
@@ -30,7 +32,7 @@
   for (const Row &row : rows) {
     Relay r;
     if (row.declared) r.declare();
-    r.relay->unsure = row.unsure;
+    r.relay->config_maybe_stale = row.config_maybe_stale;
     r.ask(1, row.path, row.key, 5000, 1000, row.host);
     EXPECT_EQ(r.refusal(), row.why) << row.path << " " << row.key;
     bool started = r.find(MT_RELAY_DO_START) != nullptr;
@@ -38,7 +40,7 @@
   }
 }
 
-TEST(RelayAdmission, TheLongestPrefixWins) {
+TEST(RelayAdmission, LongestPrefixWins) {
   Relay r;
   r.declare();
   struct Row {
@@ -54,46 +56,46 @@
   }
 }
 
-TEST(RelayAdmission, AnOlderVersionIsNotTaken) {
+TEST(RelayAdmission, OlderConfigurationIsIgnored) {
   Relay r;
-  EXPECT_TRUE(mt_relay_declare(r.relay, declared(5)));
-  EXPECT_FALSE(mt_relay_declare(r.relay, declared(4)));
-  EXPECT_FALSE(mt_relay_declare(r.relay, declared(5)));
-  EXPECT_TRUE(mt_relay_declare(r.relay, declared(9)));
+  EXPECT_TRUE(mt_relay_set_catalog(r.relay, declared(5)));
+  EXPECT_FALSE(mt_relay_set_catalog(r.relay, declared(4)));
+  EXPECT_FALSE(mt_relay_set_catalog(r.relay, declared(5)));
+  EXPECT_TRUE(mt_relay_set_catalog(r.relay, declared(9)));
   EXPECT_EQ(r.relay->catalog->version, 9);
 }
 
-// What ends an attempt, and what may follow it.
-enum Failure { NOT_SENT, LOST, SHED, MOVED, ERROR };
+// Ways in which an attempt fails.
+enum Failure { NOT_SENT, LOST, REJECTED, REPLACED, ERROR };
 
-void fail_so (Relay &r, Failure how) {
+void fail_with (Relay &r, Failure how) {
   if (how != NOT_SENT) r.sent(1);
   switch (how) {
     case NOT_SENT: r.fail(1, true); break;
     case LOST: r.fail(1); break;
-    case SHED: r.head(1, 503, false, MT_RELAY_NOT_RUN); break;
-    case MOVED: r.head(1, 421, false, MT_RELAY_MOVED); break;
+    case REJECTED: r.head(1, 503, false, MT_RELAY_NOT_RUN); break;
+    case REPLACED: r.head(1, 421, false, MT_RELAY_REPLACED); break;
     case ERROR: r.head(1, 500); break;
   }
 }
 
-TEST(RelayAttempts, WhatMayFollowAFailure) {
+TEST(RelayAttempts, RetriesByKindOfFailure) {
   struct Row {
     const char *path;
     Failure how;
     bool again;
-    mt_relay_refusal_t why; // when not again
+    mt_relay_refusal_t why; // if not retried
   } rows[] = {
       {"/once/x", NOT_SENT, true, MT_RELAY_REFUSAL_COUNT},
-      {"/once/x", SHED, true, MT_RELAY_REFUSAL_COUNT},
-      {"/once/x", MOVED, true, MT_RELAY_REFUSAL_COUNT},
+      {"/once/x", REJECTED, true, MT_RELAY_REFUSAL_COUNT},
+      {"/once/x", REPLACED, true, MT_RELAY_REFUSAL_COUNT},
       {"/once/x", LOST, false, MT_RELAY_ENGINE_LOST},
       {"/again/x", NOT_SENT, true, MT_RELAY_REFUSAL_COUNT},
       {"/again/x", LOST, true, MT_RELAY_REFUSAL_COUNT},
       {"/again/x", ERROR, true, MT_RELAY_REFUSAL_COUNT},
       {"/stream/x", LOST, true, MT_RELAY_REFUSAL_COUNT},
       {"/events/x", LOST, false, MT_RELAY_ENGINE_LOST},
-      {"/events/x", SHED, false, MT_RELAY_SHED},
+      {"/events/x", REJECTED, false, MT_RELAY_REJECTED},
       {"/events/x", NOT_SENT, true, MT_RELAY_REFUSAL_COUNT},
   };
   for (const Row &row : rows) {
@@ -101,7 +103,7 @@
     r.declare();
     r.ask(1, row.path);
     uint64_t first = r.find(MT_RELAY_DO_START)->u.start.engine;
-    fail_so(r, row.how);
+    fail_with(r, row.how);
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
     EXPECT_EQ(fx != nullptr, row.again) << row.path << row.how;
     if (fx) {
@@ -112,7 +114,7 @@
   }
 }
 
-TEST(RelayAttempts, AnEnginesOwnErrorIsPassedOnWhenNothingMayFollow) {
+TEST(RelayAttempts, EngineErrorIsForwardedWithoutRetry) {
   Relay r;
   r.declare();
   r.ask(1, "/once/x");
@@ -131,7 +133,7 @@
   r.ask(1, "/again/x");
   r.sent(1);
   r.fail(1);
-  mt_relay_event_t late = r.of(MT_RELAY_END, 1, 1);
+  mt_relay_event_t late = r.make_event(MT_RELAY_END, 1, 1);
   r.step(late);
   EXPECT_EQ(r.effects.count, 0u);
   EXPECT_EQ(r.attempt(1), 2);
@@ -140,8 +142,8 @@
 TEST(RelayAttempts, TheBudgetBoundsRetries) {
   Relay r;
   r.declare();
-  r.relay->terms.retry.slack = 0;
-  r.relay->terms.retry.ratio = 0;
+  r.relay->params.retry.slack = 0;
+  r.relay->params.retry.ratio = 0;
   r.ask(1, "/again/x");
   r.sent(1);
   r.fail(1);
@@ -149,9 +151,10 @@
   EXPECT_EQ(r.relay->counters.retries_denied, 1u);
 }
 
-// An engine that closes its connection in the ordinary way may have broken
-// off: what it did not frame is not framed for the caller (found by MIXED).
-TEST(RelayAnswers, FramingIsTheEngines) {
+// A response without length or chunks ends when the engine closes the
+// connection and may be truncated: it must not be framed for the caller, who
+// would take it for complete.
+TEST(RelayResponses, UnframedResponseStaysUnframed) {
   struct Row {
     bool framed;
     int64_t length;
@@ -169,7 +172,7 @@
   }
 }
 
-TEST(RelayStreams, AreTakenUpElsewhereBehindTheLastWholeEvent) {
+TEST(RelayStreams, ResumeElsewhereAfterLastWholeEvent) {
   Relay r;
   r.declare();
   r.ask(1, "/stream/x");
@@ -178,14 +181,14 @@
   r.event(1, 1);
   EXPECT_NE(r.find(MT_RELAY_DO_HEAD), nullptr);
   r.event(1, 2);
-  r.data(1, "id: 3\nda"); // cut inside the third
+  r.data(1, "id: 3\nda"); // ends within the third event
   EXPECT_EQ(r.find(MT_RELAY_DO_DATA), nullptr);
   r.fail(1);
   ASSERT_NE(r.find(MT_RELAY_DO_START), nullptr);
   EXPECT_EQ(r.find(MT_RELAY_DO_START)->u.start.last_event, 2);
   r.sent(1);
   r.head(1, 200, true);
-  r.event(1, 2); // an engine that begins too early
+  r.event(1, 2); // the engine repeats an event
   EXPECT_EQ(r.find(MT_RELAY_DO_DATA), nullptr);
   r.event(1, 3);
   EXPECT_EQ(r.find(MT_RELAY_DO_HEAD), nullptr);
@@ -195,8 +198,9 @@
   EXPECT_TRUE(r.idle());
 }
 
-// The body of an error once followed the first engine's events (ORDER).
-TEST(RelayStreams, AnErrorIsNotTheRestOfAStream) {
+// The body of a second engine's error response was forwarded behind the
+// events of the first.
+TEST(RelayStreams, ErrorResponseDoesNotContinueAStream) {
   Relay r;
   r.declare();
   r.ask(1, "/stream/x");
@@ -211,7 +215,7 @@
   EXPECT_EQ(r.find(MT_RELAY_DO_END), nullptr);
 }
 
-TEST(RelayStreams, EndingInsideAnEventIsNoEnd) {
+TEST(RelayStreams, EndInsideAnEventAborts) {
   Relay r;
   r.declare();
   r.ask(1, "/events/x");
@@ -224,7 +228,7 @@
   EXPECT_NE(r.find(MT_RELAY_DO_ABORT), nullptr);
 }
 
-TEST(RelayStreams, ASilentEngineIsLeft) {
+TEST(RelayStreams, SilentEngineIsReplaced) {
   Relay r;
   r.declare();
   r.ask(1, "/stream/x");
@@ -238,12 +242,12 @@
   EXPECT_NE(r.find(MT_RELAY_DO_START)->u.start.engine, first);
 }
 
-TEST(RelayTime, WhatIsSaidWhenTimeIsUp) {
+TEST(RelayTime, OutcomeAtDeadline) {
   struct Row {
     const char *path;
     bool sent, event;
-    mt_relay_refusal_t why; // REFUSAL_COUNT: the connection is cut
-  } rows[] = {{"/once/x", false, false, MT_RELAY_TIMEOUT_UNRUN},
+    mt_relay_refusal_t why; // REFUSAL_COUNT: the response is aborted
+  } rows[] = {{"/once/x", false, false, MT_RELAY_TIMEOUT_NOT_RUN},
               {"/once/x", true, false, MT_RELAY_TIMEOUT},
               {"/events/x", true, true, MT_RELAY_REFUSAL_COUNT}};
   for (const Row &row : rows) {
@@ -265,8 +269,9 @@
   }
 }
 
-// A stream taken long after the order to stop was cut (LOST).
-TEST(RelayStop, TakesOnlyWhatCanEnd) {
+// A stream that was accepted long after STOP was cut off as the process
+// exited.
+TEST(RelayStop, AcceptsOnlyWhatCanFinish) {
   struct Row {
     const char *path;
     mt_ms_t after;
@@ -289,12 +294,12 @@
   }
 }
 
-TEST(RelayCallers, LeavingEndsTheWork) {
+TEST(RelayCallers, DisconnectCancelsTheAttempt) {
   Relay r;
   r.declare();
   r.ask(1, "/stream/x");
   r.sent(1);
-  r.step(r.of(MT_RELAY_CALLER_LEFT, 1));
+  r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
   EXPECT_NE(r.find(MT_RELAY_DO_CANCEL), nullptr);
   EXPECT_TRUE(r.idle());
   EXPECT_EQ(r.relay->count, 0u);
@@ -317,8 +322,8 @@
   }
 }
 
-// All entries of a list can vanish while its owner is in trouble (incident).
-TEST(RelayPlacement, AnEngineThatVanishesServesOnForAWhile) {
+// All engines may be missing from the list while its source has trouble.
+TEST(RelayPlacement, UnlistedEngineGetsWorkForGracePeriod) {
   struct Row {
     mt_engine_state_t before;
     mt_ms_t later;
@@ -333,7 +338,7 @@
     r.declare();
     mt_engine_t *e = r.find("p1");
     e->state = row.before;
-    mt_relay_engine_left(r.relay, e, r.now, r.now);
+    mt_relay_engine_unlisted(r.relay, e, r.now, r.now);
     if (row.back) e->unlisted_since = 0;
     r.pass(row.later);
     r.ask(1, "/again/x");
@@ -341,8 +346,8 @@
   }
 }
 
-TEST(RelayPlacement, RequestsWithOnePartGoToOneEngine) {
-  Relay a, b; // two routers that have heard nothing of each other
+TEST(RelayPlacement, SharedSegmentSelectsOneEngineOnAllRouters) {
+  Relay a, b; // two routers without contact
   std::set<uint64_t> used;
   a.declare();
   b.declare();
@@ -357,7 +362,7 @@
   EXPECT_EQ(used.size(), 1u);
 }
 
-TEST(RelayPlacement, ABusyHomeIsLeftAndBusyEnginesRefuse) {
+TEST(RelayPlacement, BusyHomeSpillsOverThenRequestsAreRefused) {
   Relay r(2);
   r.declare();
   std::set<uint64_t> used;
@@ -373,14 +378,14 @@
   EXPECT_GT(r.find(MT_RELAY_DO_REFUSE)->u.refuse.retry_after, 0u);
 }
 
-TEST(PrefixCache, PartsAgeByWhatTheEngineReads) {
+TEST(PrefixCache, SegmentsAgeByTokensRead) {
   mt_prefix_cache_t cache{};
   mt_prefix_segment_t chain[] = {{1, 100}, {2, 200}, {3, 300}};
   mt_prefix_cache_use(&cache, chain, 3, 1000);
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain, 3, 1000), 600);
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain + 1, 2, 1000), 500);
   cache.clock += 900;
-  mt_prefix_cache_use(&cache, chain, 2, 1000); // 3 was used 900 ago
+  mt_prefix_cache_use(&cache, chain, 2, 1000); // segment 3: 900 ago
   cache.clock += 200;
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain, 3, 1000), 300);
   cache.clock += 900;
@@ -388,21 +393,21 @@
   mt_prefix_cache_free(&cache);
 }
 
-TEST(FairShare, TheLevelIsMaxMin) {
+TEST(FairShare, LevelIsMaxMin) {
   struct Row {
     std::vector<int64_t> asked, served;
-    double declared; // tokens a second that the engines give; 0: not told
-    double level;    // 0: nobody is short
+    double declared; // capacity in tokens per second; 0: not declared
+    double level;    // 0: all demand is met
   } rows[] = {
       {{100, 200, 300}, {100, 200, 300}, 0, 0},
       {{1000, 1000}, {500, 100}, 0, 300},
       {{100, 1000, 1000}, {100, 300, 200}, 0, 250},
       {{10, 20, 900}, {10, 20, 300}, 0, 300},
-      // Refusing must not lower the level that refusals go by.
+      // Refusals must not lower the level on which refusals depend.
       {{1000, 1000}, {500, 100}, 1500, 750},
       {{100, 1000, 1000}, {100, 300, 200}, 1000, 450},
-      {{1000, 1000}, {500, 100}, 3000, 0},  // all of it fits
-      {{1000, 1000}, {900, 800}, 500, 850}, // they give more than declared
+      {{1000, 1000}, {500, 100}, 3000, 0},  // capacity for all demand
+      {{1000, 1000}, {900, 800}, 500, 850}, // more served than declared
   };
   for (const Row &row : rows) {
     mt_fair_share_t s{};
@@ -417,7 +422,7 @@
   }
 }
 
-TEST(FairShare, WhoHadMoreThanItsShareWaitsLess) {
+TEST(FairShare, OverShareWorkspaceMayWaitLess) {
   Relay r(1);
   r.declare();
   mt_share_t *rich = mt_fair_share_get(&r.relay->shares, mtV_id("w1", 2));
@@ -434,8 +439,8 @@
   EXPECT_GT(taken[1], taken[0]);
 }
 
-// Room at idle engines went to whoever asked most often (FAIR, a hunted day).
-TEST(FairShare, RoomIsMoreForWhoHadLess) {
+// Room at idle engines went to the workspace that sent most often.
+TEST(FairShare, UnderServedWorkspaceGetsMoreRoom) {
   struct Row {
     const char *key;
     double served;
@@ -452,20 +457,20 @@
     r.pass(200);
     r.relay->shares.level = 1e4;
     r.find("m1")->peers.pending_prefill =
-        (int64_t)(15 * mt_relay_rate(r.relay, mtV_id("model", 5)));
+        (int64_t)(15 * mt_relay_prefill_rate(r.relay, mtV_id("model", 5)));
     r.ask(1, "/stream/x", row.key);
     EXPECT_EQ(r.find(MT_RELAY_DO_START) != nullptr, row.taken) << row.served;
   }
 }
 
 TEST(RetryBudget, HoldsOverEveryWindow) {
-  mt_retry_terms_t terms = {0.2, 10000, 40};
+  mt_retry_params_t params = {0.2, 10000, 40};
   mt_retry_budget_t budget{};
   std::vector<mt_ms_t> taken;
   mt_ms_t now = 50000;
   for (int i = 0; i < 4000; i++, now += 10) {
-    mt_retry_budget_request(&budget, &terms, now);
-    if (mt_retry_budget_take(&budget, &terms, 4, now)) taken.push_back(now);
+    mt_retry_budget_request(&budget, &params, now);
+    if (mt_retry_budget_take(&budget, &params, 4, now)) taken.push_back(now);
   }
   for (size_t i = 0; i < taken.size(); i++) {
     auto last =
@@ -475,7 +480,7 @@
   EXPECT_GT(taken.size(), 200u);
 }
 
-TEST(EventStream, CutsAtEveryByte) {
+TEST(EventStream, SplitsInputOfAnyChunkSize) {
   const std::string text =
       "id: 1\ndata: a\n\nx-weights: 2\nid:22\r\ndata: b\r\n\r\ndata: c\n\n";
   for (size_t step = 1; step <= text.size(); step++) {
@@ -498,8 +503,9 @@
   }
 }
 
-// Any order of events: each request has one final word; what may run once is
-// never sent again after bytes of it went out; loads return to nothing.
+// In any order of events each request gets one final effect, a request that
+// may run only once is not sent again after bytes of it were written, and all
+// loads return to 0.
 TEST(RelayProperties, HoldUnderAnyOrderOfEvents) {
   const char *paths[] = {"/once/x", "/again/x", "/stream/x", "/events/x"};
   for (unsigned seed = 1; seed <= 300; seed++) {
@@ -536,7 +542,7 @@
     };
     for (int i = 0; i < 400; i++) {
       r.now += random() % 40;
-      r.effects.count = 0; // what was looked at
+      r.effects.count = 0; // already checked
       int what = (int)(random() % 12);
       if (open.size() < 8 && what < 4) {
         int path = (int)(random() % 4);
@@ -569,7 +575,7 @@
       bool told_not_run = false;
       switch (what) {
         case 4:
-          if (!q->gone_out) {
+          if (!q->written) {
             r.sent(number);
             went_out[number] = true;
           }
@@ -584,7 +590,7 @@
           if (q->status != 0) r.end(number);
           break;
         case 8:
-          if (q->gone_out && q->status == 0) {
+          if (q->written && q->status == 0) {
             told_not_run = random() % 2;
             if (told_not_run) went_out[number] = false;
             r.head(number, told_not_run ? 503 : 500, false,
@@ -593,10 +599,10 @@
           break;
         case 9:
           if (random() % 4 == 0) {
-            r.step(r.of(MT_RELAY_CALLER_LEFT, number));
+            r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, number));
             open.erase(number);
           } else {
-            r.fail(number, !q->gone_out);
+            r.fail(number, !q->written);
           }
           break;
         default: continue;
--- a/tests/restart_test.cc
+++ b/tests/restart_test.cc
@@ -23,14 +23,15 @@
   e->unreachable = true;
   e->slowness = 6;
   const mt_load_row_t row = {nullptr, 9, {100, 200, 3}, 50, r.now + 2500};
-  mt_load_table_set(&r.relay->book, e->key, &row);
+  mt_load_table_set(&r.relay->router_loads, e->key, &row);
   mt_relay_event_t event{};
   event.kind = MT_RELAY_RESTARTED;
   event.u.restarted = e->key;
   r.step(event);
   EXPECT_EQ(mt_prefix_cache_match(&e->cached, &part, 1, 100000), 0);
   EXPECT_EQ(mt_prefix_holders_find(&r.relay->holders, 7), 0u);
-  EXPECT_EQ(mt_load_table_sum(&r.relay->book, e->key, 0, r.now).running, 0);
+  EXPECT_EQ(
+      mt_load_table_sum(&r.relay->router_loads, e->key, 0, r.now).running, 0);
   EXPECT_EQ(e->unlisted_since, 0u);
   EXPECT_EQ(e->peers.running, 0);
   EXPECT_EQ(e->failures, 0);
