--- a/bench/bbfault.c
+++ b/bench/bbfault.c
@@ -186,7 +186,7 @@
     c->notruns++; /* the caller itself knows that nothing went out */
   else if (!c->whole)
     c->unknowns++;
-  else if (c->status != 200 && ev->outcome == MT_SAID_NOTRUN)
+  else if (c->status != 200 && ev->outcome == MT_OUTCOME_NOTRUN)
     c->notruns++;
   else
     c->unknowns++;
--- a/src/mtcall.c
+++ b/src/mtcall.c
@@ -1,5 +1,5 @@
 /*
-** mtcall.c - HTTP calls of the router, on src/net
+** mtcall.c - HTTP client of the router, on src/net
 */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,27 +9,27 @@
 #include "mtcall.h"
 #include "mtmem.h"
 
-#define IDLE_MS 60000
-#define SWEEP_MS 100
+#define IDLE_MS 60000 /* then an idle connection is closed */
+#define SWEEP_MS 100  /* period of the timeout check */
 
 struct mt_http_t {
   uv_loop_t *loop;
   mt_http_client_t *client;
-  mt_ms_t silence;
+  mt_ms_t timeout_ms;
   uv_timer_t sweep;
   mt_call_t *calls;
 };
 
 struct mt_call_t {
   mt_http_t *http;
-  mt_http_call_t *call; /* NULL: it is over */
+  mt_http_call_t *call; /* NULL once it has ended */
   mt_callfn_t fn;
   void *ud;
-  mt_ms_t heard;
+  mt_ms_t last_activity; /* start, last event or last pause or resume */
   bool paused;
-  mt_said_t outcome;
-  bool busy;      /* inside its own callback */
-  bool cancelled; /* from there: nothing more is wanted */
+  mt_outcome_t outcome;
+  bool in_callback; /* its callback is running */
+  bool cancelled;   /* by its own callback; freed when that returns */
   mt_call_t *prev, *next;
 };
 
@@ -44,17 +44,17 @@
   free(c);
 }
 
-/* Hands on an event; false when the call was cancelled in the callback. */
+/* Calls the callback; false when that has cancelled the call. */
 static bool deliver (mt_call_t *c, const mt_callev_t *ev) {
-  c->busy = true;
+  c->in_callback = true;
   if (!c->cancelled) c->fn(c->ud, c, ev);
-  c->busy = false;
+  c->in_callback = false;
   return !c->cancelled;
 }
 
-/* Hands on an event that is not the last; a cancelled call ends here. */
-static void deliver_more (mt_call_t *c, const mt_callev_t *ev) {
-  c->heard = uv_now(c->http->loop);
+/* Delivers an event that is not the last; frees a call cancelled by it. */
+static void deliver_partial (mt_call_t *c, const mt_callev_t *ev) {
+  c->last_activity = uv_now(c->http->loop);
   if (deliver(c, ev)) return;
   mt_http_call_cancel(c->call);
   free_call(c);
@@ -76,16 +76,17 @@
       mt_bytes_number(mt_http_headers_find(headers, "content-length"));
   mt_bytes_t outcome = mt_http_headers_find(headers, "x-outcome");
   if (outcome.n > 0)
-    c->outcome = mt_bytes_equal_nocase(outcome, "not-run") ? MT_SAID_NOTRUN
-                                                           : MT_SAID_UNKNOWN;
-  deliver_more(c, &ev);
+    c->outcome = mt_bytes_equal_nocase(outcome, "not-run")
+                     ? MT_OUTCOME_NOTRUN
+                     : MT_OUTCOME_UNKNOWN;
+  deliver_partial(c, &ev);
   return true;
 }
 
 static void on_data (void *ud, mt_http_call_t *call, const char *p,
                      size_t n) {
   mt_callev_t ev = {.kind = MT_CALL_BODY, .data = {p, n}};
-  deliver_more(ud, &ev);
+  deliver_partial(ud, &ev);
 }
 
 static void on_end (void *ud, mt_http_call_t *call) {
@@ -106,9 +107,9 @@
 
 /* }== */
 
-/* {== Beginning ======================================================== */
+/* {== Starting ========================================================= */
 
-static char *compose (const mt_callspec_t *s, size_t *size) {
+static char *format_head (const mt_callspec_t *s, size_t *size) {
   const char *extra = s->headers ? s->headers : "";
   size_t cap = strlen(s->method) + strlen(s->path) + strlen(extra) + 160;
   char *head = mtV_new(cap);
@@ -120,7 +121,7 @@
   return head;
 }
 
-static uint64_t key_of (const mt_addr_t *a) {
+static uint64_t endpoint_key (const mt_addr_t *a) {
   char text[80];
   int n = snprintf(text, sizeof text, "%s:%u", a->ip, a->port);
   return mtV_hash(text, (size_t)n) | 1;
@@ -133,12 +134,12 @@
   c->http = http;
   c->fn = fn;
   c->ud = ud;
-  c->heard = uv_now(http->loop);
+  c->last_activity = uv_now(http->loop);
   c->next = http->calls;
   if (c->next) c->next->prev = c;
   http->calls = c;
-  char *head = compose(spec, &size);
-  mt_http_endpoint_t endpoint = {key_of(&spec->addr), spec->addr.ip,
+  char *head = format_head(spec, &size);
+  mt_http_endpoint_t endpoint = {endpoint_key(&spec->addr), spec->addr.ip,
                                  spec->addr.port};
   c->call =
       mt_http_client_call(http->client, &endpoint, (mt_bytes_t){head, size},
@@ -148,7 +149,7 @@
 }
 
 void mtY_cancel (mt_call_t *c) {
-  if (c->busy) {
+  if (c->in_callback) {
     c->cancelled = true;
     return;
   }
@@ -159,7 +160,7 @@
 void mtY_pause (mt_call_t *c, bool pause) {
   if (c->call == NULL) return;
   c->paused = pause;
-  c->heard = uv_now(c->http->loop);
+  c->last_activity = uv_now(c->http->loop);
   mt_http_call_pause(c->call, pause);
 }
 
@@ -167,12 +168,14 @@
 
 /* {== Client =========================================================== */
 
-/* Ends one call that has heard nothing for too long; others come next time.
- */
-static void end_silent (mt_http_t *http) {
+/*
+** Fails the first call that has timed out. At most one per sweep, since its
+** callback may change the list; others follow in later sweeps.
+*/
+static void fail_timed_out (mt_http_t *http) {
   mt_ms_t now = uv_now(http->loop);
   for (mt_call_t *c = http->calls; c != NULL; c = c->next) {
-    if (c->paused || now - c->heard < http->silence) continue;
+    if (c->paused || now - c->last_activity < http->timeout_ms) continue;
     mt_callev_t ev = {.kind = MT_CALL_FAILED, .silent = true};
     ev.notsent = !mt_http_call_is_sent(c->call);
     mt_http_call_cancel(c->call);
@@ -184,17 +187,17 @@
 static void on_sweep (uv_timer_t *timer) {
   mt_http_t *http = timer->data;
   mt_http_client_tick(http->client);
-  end_silent(http);
+  fail_timed_out(http);
 }
 
-mt_http_t *mtY_open (uv_loop_t *loop, mt_ms_t silence) {
+mt_http_t *mtY_open (uv_loop_t *loop, mt_ms_t timeout_ms) {
   mt_http_t *http = mtV_new(sizeof *http);
   const mt_http_client_options_t options = {
       .connect_ms = MT_CONNECT_TIMEOUT_MS,
       .idle_ms = IDLE_MS,
-      .user_timeout = (unsigned)silence};
+      .user_timeout = (unsigned)timeout_ms};
   http->loop = loop;
-  http->silence = silence;
+  http->timeout_ms = timeout_ms;
   http->client = mt_http_client_open(loop, &options, &handler);
   uv_timer_init(loop, &http->sweep);
   http->sweep.data = http;
--- a/src/mtcall.h
+++ b/src/mtcall.h
@@ -1,5 +1,5 @@
 /*
-** mtcall.h - HTTP calls of the router, on src/net
+** mtcall.h - HTTP client of the router, on src/net
 */
 #ifndef mtcall_h
 #define mtcall_h
@@ -9,33 +9,34 @@
 #include "mtobject.h"
 #include "mtset.h"
 
-typedef struct mt_http_t mt_http_t;
-typedef struct mt_call_t mt_call_t;
+typedef struct mt_http_t mt_http_t; /* a client with its connections */
+typedef struct mt_call_t mt_call_t; /* one request and its reply */
 
 typedef enum mt_callkind_t {
-  MT_CALL_HEAD,
-  MT_CALL_BODY,
-  MT_CALL_END,
-  MT_CALL_FAILED
+  MT_CALL_HEAD,  /* status line and header fields */
+  MT_CALL_BODY,  /* a piece of the body */
+  MT_CALL_END,   /* the reply is complete */
+  MT_CALL_FAILED /* no reply, or an incomplete one */
 } mt_callkind_t;
 
-typedef enum mt_said_t {
-  MT_SAID_NOTHING,
-  MT_SAID_NOTRUN,
-  MT_SAID_UNKNOWN
-} mt_said_t;
+/* The x-outcome header of a reply: whether the request was executed. */
+typedef enum mt_outcome_t {
+  MT_OUTCOME_NONE,   /* no such header */
+  MT_OUTCOME_NOTRUN, /* "not-run": certainly not executed */
+  MT_OUTCOME_UNKNOWN /* any other value: it may have been executed */
+} mt_outcome_t;
 
-/* What becomes of a call. END and FAILED are the last; texts are borrowed. */
+/* An event of a call; END or FAILED is the last. Texts are borrowed. */
 typedef struct mt_callev_t {
   mt_callkind_t kind;
   int status;
-  mt_bytes_t type;     /* HEAD: content type */
-  mt_bytes_t revision; /* HEAD: x-revision */
-  int64_t length;      /* HEAD: bytes that will come, -1: not told */
-  mt_said_t outcome;   /* END: what the head's x-outcome said */
-  mt_bytes_t data;     /* BODY */
-  bool notsent;        /* FAILED: no byte of the request went out */
-  bool silent;         /* FAILED: nothing came in time */
+  mt_bytes_t type;      /* HEAD: content type */
+  mt_bytes_t revision;  /* HEAD: x-revision */
+  int64_t length;       /* HEAD: bytes of the body, -1: unknown */
+  mt_outcome_t outcome; /* END: from the reply's header */
+  mt_bytes_t data;      /* BODY */
+  bool notsent;         /* FAILED: no byte of the request was sent */
+  bool silent;          /* FAILED: nothing was received in time */
 } mt_callev_t;
 
 typedef void (*mt_callfn_t)(void *ud, mt_call_t *call, const mt_callev_t *ev);
@@ -44,23 +45,23 @@
   mt_addr_t addr;
   const char *method;
   const char *path;
-  const char *headers; /* whole lines, each with CRLF, or NULL */
+  const char *headers; /* lines that each end in CRLF, or NULL */
   mt_bytes_t body;     /* copied */
-  bool fresh;          /* on a connection of its own */
+  bool fresh;          /* on a new connection, closed afterwards */
 } mt_callspec_t;
 
-/* A client; a call fails when nothing comes for `silence` milliseconds. */
-mt_http_t *mtY_open (uv_loop_t *loop, mt_ms_t silence);
+/* A client; a call fails when nothing is received for `timeout_ms`. */
+mt_http_t *mtY_open (uv_loop_t *loop, mt_ms_t timeout_ms);
 void mtY_close (mt_http_t *http);
 
-/* Begins a call. The callback is never called before this returns. */
+/* Starts a call. The callback is never called before this returns. */
 mt_call_t *mtY_call (mt_http_t *http, const mt_callspec_t *spec,
                      mt_callfn_t fn, void *ud);
 
-/* Ends a call without any further callback. */
+/* Cancels a call; there is no further callback. */
 void mtY_cancel (mt_call_t *call);
 
-/* Stops and resumes reading the answer. */
+/* Stops or resumes reading the reply; paused calls do not time out. */
 void mtY_pause (mt_call_t *call, bool pause);
 
 #endif
--- a/src/mtcli.c
+++ b/src/mtcli.c
@@ -19,46 +19,52 @@
 #define VERSION "0.1.0"
 #define PROGRAM "martentiller"
 
-/* Exit codes. */
-enum { DONE = 0, FAILED = 1, USAGE = 2 };
+/* Exit codes of the process. */
+enum { SUCCESS = 0, FAILURE = 1, USAGE_ERROR = 2 };
 
 #define STORE_VARIABLE "MARTENTILLER_STORE"
 #define DRAIN_POLL_MS 500
 
 /* {== Help ============================================================= */
 
-typedef int (*command_t)(int argc, char **argv);
+typedef int (*command_fn_t)(int argc, char **argv);
 
-typedef struct row_t {
-  const char *name, *what;
-  command_t run;
-} row_t;
+typedef struct subcommand_t {
+  const char *name, *summary;
+  command_fn_t run;
+} subcommand_t;
 
-/* Parses a command's arguments; DONE means that the command can go on. */
-static int parse (const char *name, const char *what, int argc, char **argv,
-                  void **table, struct arg_lit *help, struct arg_end *end) {
+/*
+** Parses a command's arguments. Returns SUCCESS if the command is to run,
+** USAGE_ERROR if an argument is wrong, -1 if only the help was printed.
+*/
+static int parse (const char *name, const char *summary, int argc,
+                  char **argv, void **table, struct arg_lit *help,
+                  struct arg_end *end) {
   int errors = arg_parse(argc, argv, table);
   if (help->count > 0) {
     printf("Usage: " PROGRAM " %s", name);
     arg_print_syntax(stdout, table, "\n");
-    printf("%s\n\n", what);
+    printf("%s\n\n", summary);
     arg_print_glossary_gnu(stdout, table);
     return -1;
   }
-  if (errors == 0) return DONE;
+  if (errors == 0) return SUCCESS;
   arg_print_errors(stderr, end, PROGRAM);
   fprintf(stderr, "Try '" PROGRAM " %s --help'.\n", name);
-  return USAGE;
+  return USAGE_ERROR;
 }
 
+/* Frees the arguments; returns the exit code. */
 static int finish (void **table, size_t n, int code) {
   arg_freetable(table, n);
-  return code < 0 ? DONE : code;
+  return code < 0 ? SUCCESS : code;
 }
 
-static void printfaults (const char *what, const mt_faults_t *fs) {
+static void printfaults (const char *subject, const mt_faults_t *fs) {
   for (size_t i = 0; i < fs->n; i++)
-    fprintf(stderr, "%s: %s: %s\n", what, fs->at[i].where, fs->at[i].reason);
+    fprintf(stderr, "%s: %s: %s\n", subject, fs->at[i].where,
+            fs->at[i].reason);
 }
 
 /* }== */
@@ -71,9 +77,10 @@
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(10);
   void *table[] = {file, help, end};
-  int code = parse("router", "Runs a router until it is told to stop.", argc,
-                   argv, table, help, end);
-  if (code == DONE) code = mtX_run(file->filename[0]);
+  int code =
+      parse("router", "Runs a router until a signal or request to drain.",
+            argc, argv, table, help, end);
+  if (code == SUCCESS) code = mtX_run(file->filename[0]);
   return finish(table, mt_countof(table), code);
 }
 
@@ -82,14 +89,15 @@
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(10);
   void *table[] = {file, help, end};
-  int code = parse("settings check", "Names every fault in a settings file.",
-                   argc, argv, table, help, end);
-  if (code == DONE) {
+  int code =
+      parse("settings check", "Reports every error in a settings file.", argc,
+            argv, table, help, end);
+  if (code == SUCCESS) {
     mt_settings_t set;
     mt_faults_t fs = {.n = 0};
-    code = mtC_read(file->filename[0], &set, &fs) ? DONE : FAILED;
+    code = mtC_read(file->filename[0], &set, &fs) ? SUCCESS : FAILURE;
     printfaults(file->filename[0], &fs);
-    if (code == DONE) printf("%s: good\n", file->filename[0]);
+    if (code == SUCCESS) printf("%s: valid\n", file->filename[0]);
   }
   return finish(table, mt_countof(table), code);
 }
@@ -101,66 +109,71 @@
 static bool storeaddress (const struct arg_str *arg, mt_addr_t *a) {
   const char *s = arg->count ? arg->sval[0] : getenv(STORE_VARIABLE);
   if (s != NULL && mtJ_address(s, a->ip, &a->port)) return true;
-  fprintf(stderr, PROGRAM ": name the store: --store http://IP:PORT, or %s\n",
+  fprintf(stderr,
+          PROGRAM
+          ": no store address: give --store http://IP:PORT or set %s\n",
           STORE_VARIABLE);
   return false;
 }
 
-static int explain (mt_uerr_t err, int64_t revision, const mt_faults_t *fs) {
+static int report_result (mt_uerr_t err, int64_t revision,
+                          const mt_faults_t *fs) {
   switch (err) {
     case MT_U_OK:
       printf("revision %lld is published\n", (long long)revision);
-      return DONE;
-    case MT_U_STORE:
-      fprintf(stderr, "the store cannot be reached; run the command again\n");
+      return SUCCESS;
+    case MT_U_UNREACHABLE:
+      fprintf(stderr, "the store did not reply; run the command again\n");
       break;
-    case MT_U_LOST:
+    case MT_U_CONFLICT:
       fprintf(
           stderr,
-          "another change came first: revision %lld stands; look at it and try again\n",
+          "another change came first: revision %lld is in force; review it and run the command again\n",
           (long long)revision);
       break;
-    case MT_U_FAULTY: printfaults("refused", fs); break;
-    case MT_U_BROKEN:
+    case MT_U_INVALID: printfaults("invalid", fs); break;
+    case MT_U_CORRUPT:
       fprintf(stderr, "the configuration in the store cannot be read\n");
       break;
   }
-  return FAILED;
+  return FAILURE;
 }
 
-static int readstand (mt_operator_t *U, mt_stand_t *was) {
+static int read_snapshot (mt_publisher_t *U, mt_snapshot_t *base) {
   mt_faults_t none = {.n = 0};
-  mt_uerr_t err = mtU_read(U, was);
-  return err == MT_U_OK ? DONE : explain(err, 0, &none);
+  mt_uerr_t err = mtU_read(U, base);
+  return err == MT_U_OK ? SUCCESS : report_result(err, 0, &none);
 }
 
-static int applydir (mt_operator_t *U, const char *dir, bool change) {
+/* Prints what publishing `dir` would change; with `apply`, publishes it. */
+static int applydir (mt_publisher_t *U, const char *dir, bool apply) {
   mt_faults_t fs = {.n = 0};
-  mt_stand_t was;
+  mt_snapshot_t base;
   int64_t revision = 0;
   json_t *declared = mtU_load(dir, &fs);
-  int code = fs.n ? explain(MT_U_FAULTY, 0, &fs) : readstand(U, &was);
-  if (code != DONE) {
+  int code =
+      fs.n ? report_result(MT_U_INVALID, 0, &fs) : read_snapshot(U, &base);
+  if (code != SUCCESS) {
     json_decref(declared);
     return code;
   }
-  json_t *doc = mtU_merge(&was, declared);
-  size_t n = mtU_diff(was.doc, doc);
+  json_t *doc = mtU_merge(&base, declared);
+  size_t n = mtU_diff(base.doc, doc);
   if (n == 0) {
-    printf("nothing to change; revision %lld stands\n",
-           (long long)was.revision);
-  } else if (change) {
-    mt_uerr_t err = mtU_write(U, &was, doc, "apply", &revision, &fs);
-    code = explain(err, revision, &fs);
+    printf("nothing to change; revision %lld is in force\n",
+           (long long)base.revision);
+  } else if (apply) {
+    mt_uerr_t err = mtU_write(U, &base, doc, "apply", &revision, &fs);
+    code = report_result(err, revision, &fs);
   }
   json_decref(doc);
   json_decref(declared);
-  mtU_free(&was);
+  mtU_free(&base);
   return code;
 }
 
-static int declarations (const char *name, const char *what, bool change,
-                         int argc, char **argv) {
+static int run_declarations (const char *name, const char *summary,
+                             bool apply, int argc, char **argv) {
   struct arg_str *store =
       arg_str0(NULL, "store", "URL", "the platform's store");
   struct arg_file *dir = arg_file1(NULL, NULL, "DIR",
@@ -170,26 +183,26 @@
   struct arg_end *end = arg_end(10);
   void *table[] = {store, dir, help, end};
   mt_addr_t addr;
-  int code = parse(name, what, argc, argv, table, help, end);
-  if (code == DONE && !storeaddress(store, &addr)) code = USAGE;
-  if (code == DONE) {
-    mt_operator_t *U = mtU_open(&addr);
-    code = applydir(U, dir->filename[0], change);
+  int code = parse(name, summary, argc, argv, table, help, end);
+  if (code == SUCCESS && !storeaddress(store, &addr)) code = USAGE_ERROR;
+  if (code == SUCCESS) {
+    mt_publisher_t *U = mtU_open(&addr);
+    code = applydir(U, dir->filename[0], apply);
     mtU_close(U);
   }
   return finish(table, mt_countof(table), code);
 }
 
 static int cmdplan (int argc, char **argv) {
-  return declarations(
+  return run_declarations(
       "plan", "Prints what 'apply' would change, and changes nothing.", false,
       argc, argv);
 }
 
 static int cmdapply (int argc, char **argv) {
-  return declarations(
+  return run_declarations(
       "apply",
-      "Makes the fleet's configuration what DIR declares; safe to repeat.",
+      "Publishes the declarations in DIR as the fleet's configuration; idempotent.",
       true, argc, argv);
 }
 
@@ -224,12 +237,12 @@
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(10);
   void *table[] = {file, help, end};
-  int code = parse("policy check", "Compiles a program and tries it.", argc,
-                   argv, table, help, end);
-  if (code == DONE) {
+  int code = parse("policy check", "Compiles and test-runs a policy program.",
+                   argc, argv, table, help, end);
+  if (code == SUCCESS) {
     char *text = readprogram(file->filename[0]);
-    code = text && checkprogram(file->filename[0], text) ? DONE : FAILED;
-    if (code == DONE) printf("%s: good\n", file->filename[0]);
+    code = text && checkprogram(file->filename[0], text) ? SUCCESS : FAILURE;
+    if (code == SUCCESS) printf("%s: valid\n", file->filename[0]);
     free(text);
   }
   return finish(table, mt_countof(table), code);
@@ -237,37 +250,40 @@
 
 typedef enum policyact_t { PUBLISH, REVISE, WITHDRAW } policyact_t;
 
-/* True when the policy stands as the operator believes. */
-static bool asbelieved (policyact_t act, const char *name, const json_t *old,
-                        int64_t replaces) {
-  json_int_t stands = mtJ_int(old, "revision", 0);
+/*
+** Whether a policy is in the state that the command expects: not published,
+** or published at revision `replaces`. Prints the difference if not.
+*/
+static bool check_revision (policyact_t act, const char *name,
+                            const json_t *old, int64_t replaces) {
+  json_int_t current = mtJ_int(old, "revision", 0);
   if (act == PUBLISH && old == NULL) return true;
-  if (act != PUBLISH && old != NULL && stands == replaces) return true;
+  if (act != PUBLISH && old != NULL && current == replaces) return true;
   if (old == NULL)
     fprintf(stderr, "policy %s is not published\n", name);
   else if (act == PUBLISH)
     fprintf(
         stderr,
         "policy %s is published already, at revision %lld; use 'revise'\n",
-        name, (long long)stands);
+        name, (long long)current);
   else
     fprintf(stderr, "policy %s: revision %lld won; you named %lld\n", name,
-            (long long)stands, (long long)replaces);
+            (long long)current, (long long)replaces);
   return false;
 }
 
-static int changepolicy (mt_operator_t *U, policyact_t act, const char *name,
+static int changepolicy (mt_publisher_t *U, policyact_t act, const char *name,
                          const char *text, int64_t replaces) {
   static const char *const verbs[] = {"publish", "revise", "withdraw"};
-  mt_stand_t was;
+  mt_snapshot_t base;
   mt_faults_t fs = {.n = 0};
   int64_t revision = 0;
-  int code = readstand(U, &was);
-  if (code != DONE) return code;
-  json_t *doc = json_deep_copy(was.doc);
+  int code = read_snapshot(U, &base);
+  if (code != SUCCESS) return code;
+  json_t *doc = json_deep_copy(base.doc);
   json_t *policies = json_object_get(doc, "policies");
-  if (!asbelieved(act, name, json_object_get(policies, name), replaces)) {
-    code = FAILED;
+  if (!check_revision(act, name, json_object_get(policies, name), replaces)) {
+    code = FAILURE;
     goto done;
   }
   if (act == WITHDRAW)
@@ -275,19 +291,19 @@
   else
     json_object_set_new(policies, name,
                         json_pack("{s:s,s:I}", "program", text, "revision",
-                                  (json_int_t)(was.revision + 1)));
-  char what[MT_NAME_MAX + 32];
-  snprintf(what, sizeof what, "policy %s %s", verbs[act], name);
-  mt_uerr_t err = mtU_write(U, &was, doc, what, &revision, &fs);
-  code = explain(err, revision, &fs);
+                                  (json_int_t)(base.revision + 1)));
+  char summary[MT_NAME_MAX + 32];
+  snprintf(summary, sizeof summary, "policy %s %s", verbs[act], name);
+  mt_uerr_t err = mtU_write(U, &base, doc, summary, &revision, &fs);
+  code = report_result(err, revision, &fs);
 done:
   json_decref(doc);
-  mtU_free(&was);
+  mtU_free(&base);
   return code;
 }
 
-static int policychange (const char *command, const char *what,
-                         policyact_t act, int argc, char **argv) {
+static int run_policy_change (const char *command, const char *summary,
+                              policyact_t act, int argc, char **argv) {
   struct arg_str *store =
       arg_str0(NULL, "store", "URL", "the platform's store");
   struct arg_int *replaces =
@@ -305,25 +321,27 @@
     table[4] = end;
   }
   mt_addr_t addr;
-  int code = parse(command, what, argc, argv, table, help, end);
-  if (code == DONE && act != PUBLISH && replaces->count == 0) {
-    fprintf(stderr,
-            PROGRAM ": name the revision that is replaced: --replaces REV\n");
-    code = USAGE;
+  int code = parse(command, summary, argc, argv, table, help, end);
+  if (code == SUCCESS && act != PUBLISH && replaces->count == 0) {
+    fprintf(stderr, PROGRAM
+            ": --replaces REV is required: the revision to replace\n");
+    code = USAGE_ERROR;
   }
-  if (code == DONE && !mtJ_isname(name->sval[0])) {
-    fprintf(stderr, PROGRAM ": a name has 1 to %d of [a-z0-9._-]\n",
+  if (code == SUCCESS && !mtJ_isname(name->sval[0])) {
+    fprintf(stderr,
+            PROGRAM ": a policy name has 1 to %d characters of [a-z0-9._-]\n",
             MT_NAME_MAX);
-    code = USAGE;
+    code = USAGE_ERROR;
   }
-  if (code == DONE && !storeaddress(store, &addr)) code = USAGE;
-  char *text =
-      code == DONE && act != WITHDRAW ? readprogram(file->filename[0]) : NULL;
-  if (code == DONE && act != WITHDRAW &&
+  if (code == SUCCESS && !storeaddress(store, &addr)) code = USAGE_ERROR;
+  char *text = code == SUCCESS && act != WITHDRAW
+                   ? readprogram(file->filename[0])
+                   : NULL;
+  if (code == SUCCESS && act != WITHDRAW &&
       (text == NULL || !checkprogram(file->filename[0], text)))
-    code = FAILED;
-  if (code == DONE) {
-    mt_operator_t *U = mtU_open(&addr);
+    code = FAILURE;
+  if (code == SUCCESS) {
+    mt_publisher_t *U = mtU_open(&addr);
     code = changepolicy(U, act, name->sval[0], text,
                         replaces->count ? replaces->ival[0] : 0);
     mtU_close(U);
@@ -334,22 +352,21 @@
 }
 
 static int cmdpublish (int argc, char **argv) {
-  return policychange("policy publish", "Publishes a new policy.", PUBLISH,
-                      argc, argv);
+  return run_policy_change("policy publish", "Publishes a new policy.",
+                           PUBLISH, argc, argv);
 }
 
 static int cmdrevise (int argc, char **argv) {
-  return policychange("policy revise",
-                      "Puts a new program in place of a policy's.", REVISE,
-                      argc, argv);
+  return run_policy_change("policy revise", "Replaces a policy's program.",
+                           REVISE, argc, argv);
 }
 
 static int cmdwithdraw (int argc, char **argv) {
-  return policychange("policy withdraw", "Withdraws a policy.", WITHDRAW,
-                      argc, argv);
+  return run_policy_change("policy withdraw", "Withdraws a policy.", WITHDRAW,
+                           argc, argv);
 }
 
-static void listpolicies (const mt_stand_t *s, const char *name) {
+static void listpolicies (const mt_snapshot_t *s, const char *name) {
   (void)name;
   const char *key;
   json_t *p;
@@ -360,7 +377,7 @@
   }
 }
 
-static void showpolicy (const mt_stand_t *s, const char *name) {
+static void showpolicy (const mt_snapshot_t *s, const char *name) {
   const json_t *p =
       json_object_get(json_object_get(s->doc, "policies"), name);
   printf("-- policy %s, revision %lld\n%s", name,
@@ -368,23 +385,24 @@
          mtJ_str(p, "program", "-- is not published\n"));
 }
 
-static void showhistory (const mt_stand_t *s, const char *name) {
+static void showhistory (const mt_snapshot_t *s, const char *name) {
   size_t i;
   json_t *h;
   json_array_foreach (s->history, i, h) {
-    const char *what = mtJ_str(h, "what", "");
-    const char *last = strrchr(what, ' ');
-    bool apply = strcmp(what, "apply") == 0;
+    const char *summary = mtJ_str(h, "what", "");
+    const char *last = strrchr(summary, ' ');
+    bool apply = strcmp(summary, "apply") == 0;
     if (!apply && (last == NULL || strcmp(last + 1, name) != 0)) continue;
     printf("revision %lld at %lld: %s\n",
            (long long)mtJ_int(h, "revision", 0),
-           (long long)mtJ_int(h, "time", 0), what);
+           (long long)mtJ_int(h, "time", 0), summary);
   }
 }
 
-static int policyread (const char *command, const char *what, bool named,
-                       void (*print)(const mt_stand_t *, const char *),
-                       int argc, char **argv) {
+static int
+run_policy_read (const char *command, const char *summary, bool named,
+                 void (*print)(const mt_snapshot_t *, const char *), int argc,
+                 char **argv) {
   struct arg_str *store =
       arg_str0(NULL, "store", "URL", "the platform's store");
   struct arg_str *name =
@@ -393,48 +411,48 @@
   struct arg_end *end = arg_end(10);
   void *table[] = {store, help, named ? (void *)name : (void *)end, end};
   mt_addr_t addr;
-  int code = parse(command, what, argc, argv, table, help, end);
-  if (code == DONE && !storeaddress(store, &addr)) code = USAGE;
-  if (code == DONE) {
-    mt_operator_t *U = mtU_open(&addr);
-    mt_stand_t s;
-    code = readstand(U, &s);
-    if (code == DONE) print(&s, named ? name->sval[0] : NULL);
-    if (code == DONE) mtU_free(&s);
+  int code = parse(command, summary, argc, argv, table, help, end);
+  if (code == SUCCESS && !storeaddress(store, &addr)) code = USAGE_ERROR;
+  if (code == SUCCESS) {
+    mt_publisher_t *U = mtU_open(&addr);
+    mt_snapshot_t s;
+    code = read_snapshot(U, &s);
+    if (code == SUCCESS) print(&s, named ? name->sval[0] : NULL);
+    if (code == SUCCESS) mtU_free(&s);
     mtU_close(U);
   }
   return finish(table, named ? 4 : 3, code);
 }
 
 static int cmdlist (int argc, char **argv) {
-  return policyread("policy list", "Lists the published policies.", false,
-                    listpolicies, argc, argv);
+  return run_policy_read("policy list", "Lists the published policies.",
+                         false, listpolicies, argc, argv);
 }
 
 static int cmdshow (int argc, char **argv) {
-  return policyread("policy show", "Prints a policy's program.", true,
-                    showpolicy, argc, argv);
+  return run_policy_read("policy show", "Prints a policy's program.", true,
+                         showpolicy, argc, argv);
 }
 
 static int cmdhistory (int argc, char **argv) {
-  return policyread("policy history", "Prints the changes of a policy.", true,
-                    showhistory, argc, argv);
+  return run_policy_read("policy history", "Prints the changes of a policy.",
+                         true, showhistory, argc, argv);
 }
 
 /* }== */
 
-/* {== A running router ================================================= */
+/* {== Requests to a router ============================================= */
 
-typedef struct page_t {
+typedef struct reply_t {
   uv_loop_t *loop;
   int status;
   char *text;
   size_t n, cap;
-} page_t;
+} reply_t;
 
-static void onpage (void *ud, mt_call_t *call, const mt_callev_t *ev) {
+static void onreply (void *ud, mt_call_t *call, const mt_callev_t *ev) {
   (void)call;
-  page_t *p = ud;
+  reply_t *p = ud;
   switch (ev->kind) {
     case MT_CALL_HEAD: p->status = ev->status; return;
     case MT_CALL_BODY:
@@ -450,13 +468,13 @@
   uv_stop(p->loop);
 }
 
-/* One call of the operators' side; status 0 when it cannot be reached. */
-static page_t callrouter (uv_loop_t *loop, mt_http_t *http,
-                          const mt_addr_t *addr, const char *method,
-                          const char *path) {
-  page_t p = {.loop = loop};
+/* Sends a request to the operators' listener; status 0 when it fails. */
+static reply_t request_router (uv_loop_t *loop, mt_http_t *http,
+                               const mt_addr_t *addr, const char *method,
+                               const char *path) {
+  reply_t p = {.loop = loop};
   mt_callspec_t spec = {.addr = *addr, .method = method, .path = path};
-  mtY_call(http, &spec, onpage, &p);
+  mtY_call(http, &spec, onreply, &p);
   uv_run(loop, UV_RUN_DEFAULT);
   return p;
 }
@@ -489,11 +507,11 @@
   json_decref(doc);
 }
 
-/* Waits for a draining router to end; shows progress on a terminal. */
+/* Polls a draining router until it is gone; shows progress on a terminal. */
 static void waitdrained (uv_loop_t *loop, mt_http_t *http,
                          const mt_addr_t *addr) {
   for (;;) {
-    page_t p = callrouter(loop, http, addr, "GET", "/status");
+    reply_t p = request_router(loop, http, addr, "GET", "/status");
     json_t *doc = p.status == 200 ? json_loads(p.text, 0, NULL) : NULL;
     if (doc != NULL && isatty(STDOUT_FILENO)) {
       printf("\rwaiting %lld, running %lld   ",
@@ -509,31 +527,31 @@
   printf("drained\n");
 }
 
-static int routercall (const char *command, const char *what, bool drain,
-                       int argc, char **argv) {
-  struct arg_str *router =
-      arg_str1(NULL, "router", "URL", "the router's operators' address");
+static int run_router_request (const char *command, const char *summary,
+                               bool drain, int argc, char **argv) {
+  struct arg_str *router = arg_str1(
+      NULL, "router", "URL", "URL of the router's operators' listener");
   struct arg_lit *json = arg_lit0(NULL, "json", "print JSON");
   struct arg_lit *nowait =
-      arg_lit0(NULL, "no-wait", "do not wait for the end");
+      arg_lit0(NULL, "no-wait", "do not wait until it has drained");
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(10);
   void *table[] = {router, drain ? nowait : json, help, end};
   mt_addr_t addr;
-  int code = parse(command, what, argc, argv, table, help, end);
-  if (code == DONE && !mtJ_address(router->sval[0], addr.ip, &addr.port)) {
+  int code = parse(command, summary, argc, argv, table, help, end);
+  if (code == SUCCESS && !mtJ_address(router->sval[0], addr.ip, &addr.port)) {
     fprintf(stderr, PROGRAM ": --router must be http://IP:PORT\n");
-    code = USAGE;
+    code = USAGE_ERROR;
   }
-  if (code == DONE) {
+  if (code == SUCCESS) {
     uv_loop_t loop;
     uv_loop_init(&loop);
     mt_http_t *http = mtY_open(&loop, MT_CONNECT_TIMEOUT_MS);
-    page_t p = callrouter(&loop, http, &addr, drain ? "POST" : "GET",
-                          drain ? "/drain" : "/status");
+    reply_t p = request_router(&loop, http, &addr, drain ? "POST" : "GET",
+                               drain ? "/drain" : "/status");
     if (p.status == 0) {
       fprintf(stderr, PROGRAM ": %s cannot be reached\n", router->sval[0]);
-      code = FAILED;
+      code = FAILURE;
     } else if (drain && nowait->count == 0) {
       waitdrained(&loop, http, &addr);
     } else if (drain || json->count > 0) {
@@ -548,21 +566,23 @@
 }
 
 static int cmdstatus (int argc, char **argv) {
-  return routercall("status", "Prints what a router knows.", false, argc,
-                    argv);
+  return run_router_request(
+      "status", "Prints a router's status, members and schedulers.", false,
+      argc, argv);
 }
 
 static int cmddrain (int argc, char **argv) {
-  return routercall("drain", "Lets a router finish its work and end.", true,
-                    argc, argv);
+  return run_router_request(
+      "drain", "Drains a router: it finishes its requests and exits.", true,
+      argc, argv);
 }
 
 /* }== */
 
 /* {== Main ============================================================= */
 
-static const row_t policies[] = {
-    {"check", "compile a program and try it", cmdpolicycheck},
+static const subcommand_t policies[] = {
+    {"check", "compile and test-run a program", cmdpolicycheck},
     {"publish", "publish a new policy", cmdpublish},
     {"revise", "replace a policy's program", cmdrevise},
     {"withdraw", "withdraw a policy", cmdwithdraw},
@@ -571,20 +591,22 @@
     {"history", "print the changes of a policy", cmdhistory},
 };
 
-static const row_t settings[] = {
-    {"check", "name every fault in a settings file", cmdcheck}};
+static const subcommand_t settings[] = {
+    {"check", "report every error in a settings file", cmdcheck}};
 
-static int usage (FILE *out, const char *prefix, const row_t *rows,
+/* Prints the commands, to stdout on --help or to stderr after an error. */
+static int usage (FILE *out, const char *prefix, const subcommand_t *rows,
                   size_t n) {
   fprintf(out, "Usage: " PROGRAM " %sCOMMAND ...\n\n", prefix);
   for (size_t i = 0; i < n; i++)
-    fprintf(out, "  %-10s %s\n", rows[i].name, rows[i].what);
-  fprintf(out, "\n'" PROGRAM " %sCOMMAND --help' tells more.\n", prefix);
-  return out == stdout ? DONE : USAGE;
+    fprintf(out, "  %-10s %s\n", rows[i].name, rows[i].summary);
+  fprintf(out, "\nSee '" PROGRAM " %sCOMMAND --help' for the options.\n",
+          prefix);
+  return out == stdout ? SUCCESS : USAGE_ERROR;
 }
 
-static int choose (const char *prefix, const row_t *rows, size_t n, int argc,
-                   char **argv) {
+static int run_command (const char *prefix, const subcommand_t *rows,
+                        size_t n, int argc, char **argv) {
   if (argc < 2) return usage(stderr, prefix, rows, n);
   if (strcmp(argv[1], "--help") == 0 || strcmp(argv[1], "-h") == 0)
     return usage(stdout, prefix, rows, n);
@@ -596,67 +618,68 @@
 }
 
 static int cmdpolicy (int argc, char **argv) {
-  return choose("policy ", policies, mt_countof(policies), argc, argv);
+  return run_command("policy ", policies, mt_countof(policies), argc, argv);
 }
 
 static int cmdsettings (int argc, char **argv) {
-  return choose("settings ", settings, mt_countof(settings), argc, argv);
+  return run_command("settings ", settings, mt_countof(settings), argc, argv);
 }
 
-/* Settings come from the file that is named, or from the environment. */
+/* The settings' path is --settings or else an environment variable. */
 static int cmdgateway (int argc, char **argv) {
   struct arg_file *file = arg_file0(
       NULL, "settings", "FILE", "settings; else $" MT_PLATFORM_SETTINGS_ENV);
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(10);
   void *table[] = {file, help, end};
-  int code = parse("gateway", "Runs a gateway until it is told to stop.",
-                   argc, argv, table, help, end);
+  int code = parse("gateway", "Runs a gateway until SIGTERM or SIGINT.", argc,
+                   argv, table, help, end);
   const char *name = getenv(MT_PLATFORM_SETTINGS_ENV);
-  if (code == DONE && file->count > 0) name = file->filename[0];
-  if (code == DONE && name == NULL) {
-    fprintf(stderr, PROGRAM ": name the settings\n");
-    code = USAGE;
+  if (code == SUCCESS && file->count > 0) name = file->filename[0];
+  if (code == SUCCESS && name == NULL) {
+    fprintf(stderr, PROGRAM ": no settings given; see 'gateway --help'\n");
+    code = USAGE_ERROR;
   }
-  if (code == DONE) code = mt_platform_run(name) == 0 ? DONE : FAILED;
+  if (code == SUCCESS) code = mt_platform_run(name) == 0 ? SUCCESS : FAILURE;
   return finish(table, mt_countof(table), code);
 }
 
 #define FILES_MAX 512
 
 static int cmdexplain (int argc, char **argv) {
-  struct arg_str *id = arg_str1(NULL, NULL, "ID", "of the request");
+  struct arg_str *id = arg_str1(NULL, NULL, "ID", "id of the request");
   struct arg_file *files =
       arg_filen(NULL, NULL, "FILE", 1, FILES_MAX, "logs of gateways");
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(10);
   void *table[] = {id, files, help, end};
-  int code = parse("explain", "Tells a request's story from the logs.", argc,
-                   argv, table, help, end);
-  if (code == DONE)
+  int code =
+      parse("explain", "Prints the history of a request from gateway logs.",
+            argc, argv, table, help, end);
+  if (code == SUCCESS)
     code = mt_explain(id->sval[0], (const char *const *)files->filename,
                       (size_t)files->count);
   return finish(table, mt_countof(table), code);
 }
 
-static const row_t commands[] = {
+static const subcommand_t commands[] = {
     {"router", "run a router", cmdrouter},
     {"gateway", "run a gateway on the platform", cmdgateway},
-    {"explain", "tell a request's story from logs", cmdexplain},
+    {"explain", "print the history of a request from logs", cmdexplain},
     {"settings", "check settings", cmdsettings},
-    {"policy", "work on policy programs", cmdpolicy},
+    {"policy", "check and publish policy programs", cmdpolicy},
     {"plan", "print what 'apply' would change", cmdplan},
-    {"apply", "make the configuration what a directory declares", cmdapply},
-    {"status", "print what a router knows", cmdstatus},
-    {"drain", "let a router finish and end", cmddrain},
+    {"apply", "publish the declarations in a directory", cmdapply},
+    {"status", "print a router's status", cmdstatus},
+    {"drain", "drain a router", cmddrain},
 };
 
 int main (int argc, char **argv) {
   if (argc > 1 && strcmp(argv[1], "--version") == 0) {
     printf(PROGRAM " " VERSION "\n");
-    return DONE;
+    return SUCCESS;
   }
-  return choose("", commands, mt_countof(commands), argc, argv);
+  return run_command("", commands, mt_countof(commands), argc, argv);
 }
 
 /* }== */
--- a/src/mtfront.c
+++ b/src/mtfront.c
@@ -1,5 +1,5 @@
 /*
-** mtfront.c - the callers' side: OpenAI-style requests and plain services
+** mtfront.c - HTTP front end for callers: OpenAI-style API and plain services
 */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,108 +13,114 @@
 
 #define SERVICES "/services/"
 #define BEARER "Bearer "
-#define RECORD_MAX (4u << 20) /* bytes kept for callers that join */
-#define MAX_TOKENS (1 << 20)
+#define RECORD_MAX (4u << 20) /* reply bytes kept to replay to followers */
+#define MAX_TOKENS (1 << 20)  /* largest max_tokens that is accepted */
 
-/* One caller's request, from arrival to the end of its answer. */
-typedef struct conn_t {
+/*
+** One caller's request, from arrival to the end of its reply. Repeatable
+** requests of one API key with the same idempotency key share one run: the
+** first is the leader, the others are followers and get the same reply.
+*/
+typedef struct request_t {
   struct mt_front_t *O;
   uint64_t id;
-  mt_webreq_t *r; /* NULL once the caller has left */
-  char *body;     /* as sent to the target */
+  mt_webreq_t *r; /* NULL once the caller has disconnected */
+  char *body;     /* of the request, as sent to the target */
   size_t nbody;
-  char path[512];
+  char path[512]; /* with the query, as sent to the target */
   char method[8];
-  char type[128];
-  bool stream, begun, keyed, paused;
+  char type[128]; /* the request's content type */
+  bool stream, head_sent, has_idem_key, paused;
   mt_id_t ws;
-  mt_resume_token_t token; /* of a stream that is taken up again */
-  long from;
+  mt_resume_token_t token; /* resume token of its stream */
+  long from;               /* number of events to skip on resuming */
   mt_attempt_t *attempt;
-  uint32_t number; /* of the attempt */
-  int status;
-  int64_t length; /* of the answer, -1: not told */
-  char ctype[128];
-  char *record; /* the answer so far, for those that join */
+  uint32_t attempt_number; /* as the reducer counts, to match its events */
+  int status;              /* of the reply, 0 until its head has arrived */
+  int64_t length;          /* of the reply's body, -1: unknown */
+  char reply_type[128];
+  char *record; /* the reply's body so far, for later followers */
   size_t nrecord, record_cap;
-  struct conn_t *leader, *followers, *nextfollower;
-} conn_t;
+  struct request_t *leader, *followers, *nextfollower;
+} request_t;
 
 struct mt_front_t {
   mt_router_t *X;
-  mt_map_t conns;
+  mt_map_t requests;
   uint64_t lastid;
-  const mt_attev_t *ev; /* the event being handled, for FORWARD */
-  uint64_t *left;       /* callers found gone, told after the step */
-  size_t nleft, left_cap;
+  const mt_attev_t *ev; /* event being handled, for FORWARD */
+  /* Requests whose callers have disconnected; ended by the next check. */
+  uint64_t *disconnected;
+  size_t ndisconnected, disconnected_cap;
 };
 
-/* {== Connections ====================================================== */
+/* {== Requests in progress ============================================= */
 
-static void unfollow (conn_t *c) {
+static void unfollow (request_t *c) {
   if (c->leader == NULL) return;
-  conn_t **at = &c->leader->followers;
+  request_t **at = &c->leader->followers;
   while (*at != c) at = &(*at)->nextfollower;
   *at = c->nextfollower;
   c->leader = NULL;
 }
 
-static void freeconn (conn_t *c) {
+static void free_request (request_t *c) {
   unfollow(c);
-  mtV_del(&c->O->conns, c->id);
-  if (c->r != NULL) mtB_watch(c->r, NULL, NULL, NULL);
+  mtV_del(&c->O->requests, c->id);
+  if (c->r != NULL) mtB_set_callbacks(c->r, NULL, NULL, NULL);
   free(c->body);
   free(c->record);
   free(c);
 }
 
-static conn_t *find (mt_front_t *O, uint64_t id) {
-  return mtV_get(&O->conns, id);
+static request_t *find (mt_front_t *O, uint64_t id) {
+  return mtV_get(&O->requests, id);
 }
 
-static void tellgone (mt_front_t *O, uint64_t id) {
+static void report_disconnect (mt_front_t *O, uint64_t id) {
   mt_event_t ev = {.kind = MT_EV_CALLER_LEFT, .req = id};
   mtX_step(O->X, &ev);
 }
 
-static void onleft (void *ud, mt_webreq_t *r) {
+static void on_disconnect (void *ud, mt_webreq_t *r) {
   (void)r;
-  conn_t *c = ud;
+  request_t *c = ud;
   c->r = NULL;
   if (c->leader != NULL) {
-    freeconn(c);
+    free_request(c);
     return;
   }
   uint64_t id = c->id;
   mt_front_t *O = c->O;
-  if (c->followers != NULL) return;
-  tellgone(O, id);
-  if (find(O, id) == c) freeconn(c);
+  if (c->followers != NULL) return; /* the run goes on for them */
+  report_disconnect(O, id);
+  if (find(O, id) == c) free_request(c);
 }
 
 static void ondrained (void *ud, mt_webreq_t *r) {
   (void)r;
-  conn_t *c = ud;
+  request_t *c = ud;
   if (!c->paused || c->attempt == NULL) return;
   c->paused = false;
   mtT_pause(c->attempt, false);
 }
 
-static conn_t *newconn (mt_front_t *O, mt_webreq_t *r) {
-  conn_t *c = mtV_new(sizeof *c);
+static request_t *new_request (mt_front_t *O, mt_webreq_t *r) {
+  request_t *c = mtV_new(sizeof *c);
   c->O = O;
   c->id = ++O->lastid;
   c->r = r;
-  mtV_put(&O->conns, c->id, c);
-  mtB_watch(r, c, onleft, ondrained);
+  mtV_put(&O->requests, c->id, c);
+  mtB_set_callbacks(r, c, on_disconnect, ondrained);
   return c;
 }
 
 /* }== */
 
-/* {== Answers of our own =============================================== */
+/* {== Error replies ==================================================== */
 
-static void answererror (mt_webreq_t *r, mt_rejection_t why, bool notrun,
+/* Replies with the status and code of `why`; `detail` may be NULL. */
+static void reply_error (mt_webreq_t *r, mt_rejection_t why, bool notrun,
                          const char *detail) {
   const mt_rejection_row_t *row = mtA_rejection(why);
   char after[16];
@@ -134,36 +140,37 @@
   json_decref(doc);
 }
 
-/* Refuses at the door, before the reducer has heard of the request. */
+/* Rejects a request that has not been passed to the reducer. */
 static void refusenow (mt_front_t *O, mt_webreq_t *r, mt_rejection_t why,
                        const char *detail) {
   O->X->S->counts.rejections[why]++;
-  answererror(r, why, mtA_rejection(why)->notrun, detail);
+  reply_error(r, why, mtA_rejection(why)->notrun, detail);
 }
 
-/* Frees a request; its caller, if still there, is left to be answered. */
-static mt_webreq_t *letgo (conn_t *c) {
+/* Frees a request; returns the caller's, or NULL if it has disconnected. */
+static mt_webreq_t *detach (request_t *c) {
   mt_webreq_t *r = c->r;
-  freeconn(c);
+  free_request(c);
   return r;
 }
 
-/* Refuses a request and those that wait for the same answer. */
-static void reject (conn_t *c, mt_rejection_t why, bool notrun) {
+/* Rejects a request and its followers. */
+static void reject (request_t *c, mt_rejection_t why, bool notrun) {
   while (c->followers != NULL) reject(c->followers, why, notrun);
-  mt_webreq_t *r = letgo(c);
-  if (r != NULL) answererror(r, why, notrun, NULL);
+  mt_webreq_t *r = detach(c);
+  if (r != NULL) reply_error(r, why, notrun, NULL);
 }
 
 /* }== */
 
 /* {== Forwarding ======================================================= */
 
-static void beginanswer (conn_t *c, const conn_t *from) {
-  if (c->r == NULL || c->begun) return;
-  c->begun = true;
+/* Sends the head of the reply that `from` has received. */
+static void begin_reply (request_t *c, const request_t *from) {
+  if (c->r == NULL || c->head_sent) return;
+  c->head_sent = true;
   char token[MT_TOKEN_BYTES];
-  mt_header_t h[3] = {{"content-type", from->ctype}};
+  mt_header_t h[3] = {{"content-type", from->reply_type}};
   size_t n = 1;
   if (from->token.stream != 0) {
     mtH_sign(&c->O->X->set, &from->token, token);
@@ -171,21 +178,26 @@
   }
   const mt_target_t *t = mtF_target(c->O->X->S->fleet, from->token.target);
   if (t != NULL) h[n++] = (mt_header_t){"x-served-by", t->name};
-  if (from->length >= 0) mtB_length(c->r, (size_t)from->length);
+  if (from->length >= 0) mtB_set_length(c->r, (size_t)from->length);
   mtB_begin(c->r, from->status, h, n);
 }
 
-static void record (conn_t *c, mt_bytes_t data) {
-  if (!c->keyed || c->nrecord + data.n > RECORD_MAX) return;
+/* Keeps a piece of the body for later followers, up to RECORD_MAX bytes. */
+static void record (request_t *c, mt_bytes_t data) {
+  if (!c->has_idem_key || c->nrecord + data.n > RECORD_MAX) return;
   while (c->nrecord + data.n > c->record_cap)
     c->record = mtV_grow(c->record, c->record_cap, &c->record_cap, 1);
   memcpy(c->record + c->nrecord, data.p, data.n);
   c->nrecord += data.n;
 }
 
-static void forwardchunk (conn_t *c, mt_bytes_t data) {
+/*
+** Passes a piece of the body on. Reading from the target is paused while
+** MT_BACKLOG_MAX bytes or more wait for a slow caller.
+*/
+static void forwardchunk (request_t *c, mt_bytes_t data) {
   record(c, data);
-  for (conn_t *f = c->followers; f != NULL; f = f->nextfollower)
+  for (request_t *f = c->followers; f != NULL; f = f->nextfollower)
     if (f->r != NULL) mtB_write(f->r, data.p, data.n);
   if (c->r == NULL) return;
   mtB_write(c->r, data.p, data.n);
@@ -195,26 +207,27 @@
   mtT_pause(c->attempt, true);
 }
 
-static void finish (conn_t *c, bool whole) {
-  while (c->followers != NULL) finish(c->followers, whole);
-  mt_webreq_t *r = letgo(c);
+/* Ends the replies of a request and its followers; aborts incomplete ones. */
+static void finish (request_t *c, bool complete) {
+  while (c->followers != NULL) finish(c->followers, complete);
+  mt_webreq_t *r = detach(c);
   if (r == NULL) return;
-  if (whole)
+  if (complete)
     mtB_end(r);
   else
     mtB_abort(r);
 }
 
-static void forward (conn_t *c, const mt_attev_t *ev) {
+static void forward (request_t *c, const mt_attev_t *ev) {
   switch (ev->kind) {
     case MT_ATT_HEAD:
       c->status = ev->status;
       c->length = ev->length;
-      snprintf(c->ctype, sizeof c->ctype, "%.*s", (int)ev->type.n,
+      snprintf(c->reply_type, sizeof c->reply_type, "%.*s", (int)ev->type.n,
                ev->type.p);
-      beginanswer(c, c);
-      for (conn_t *f = c->followers; f != NULL; f = f->nextfollower)
-        beginanswer(f, c);
+      begin_reply(c, c);
+      for (request_t *f = c->followers; f != NULL; f = f->nextfollower)
+        begin_reply(f, c);
       break;
     case MT_ATT_CHUNK: forwardchunk(c, ev->data); break;
     case MT_ATT_END: finish(c, true); break;
@@ -227,9 +240,9 @@
 /* {== Attempts ========================================================= */
 
 static void onattempt (void *ud, const mt_attev_t *a) {
-  conn_t *c = ud;
+  request_t *c = ud;
   mt_front_t *O = c->O;
-  mt_event_t ev = {.req = c->id, .attempt = c->number};
+  mt_event_t ev = {.req = c->id, .attempt = c->attempt_number};
   switch (a->kind) {
     case MT_ATT_HEAD:
       ev.kind = MT_EV_HEAD;
@@ -259,25 +272,25 @@
   O->ev = outer;
 }
 
-static void markleft (mt_front_t *O, uint64_t id) {
-  *mtV_push(O->left, O->nleft, O->left_cap) = id;
+static void mark_disconnected (mt_front_t *O, uint64_t id) {
+  *mtV_push(O->disconnected, O->ndisconnected, O->disconnected_cap) = id;
 }
 
-static void start (conn_t *c, const mt_effect_t *fx) {
+static void start (request_t *c, const mt_effect_t *fx) {
   mt_router_t *X = c->O->X;
   const mt_target_t *t = mtF_target(X->S->fleet, fx->u.start.target);
   mt_addr_t direct = {.port = t->port};
   memcpy(direct.ip, t->ip, sizeof direct.ip);
   mt_addr_t addr = mtC_resolve(&X->set, t->id, &direct);
-  if (c->r != NULL && c->followers == NULL && mtB_left(c->r))
-    markleft(c->O, c->id);
-  c->number = fx->attempt;
+  if (c->r != NULL && c->followers == NULL && mtB_disconnected(c->r))
+    mark_disconnected(c->O, c->id);
+  c->attempt_number = fx->attempt;
   c->token.ws = c->ws;
   c->token.target = fx->u.start.target;
   c->token.expires = (uint64_t)time(NULL) + MT_RESUME_TOKEN_MS / 1000;
   if (fx->kind == MT_FX_RESUME) {
-    c->attempt =
-        mtT_resume(X->targets, &addr, c->token.stream, c->from, onattempt, c);
+    c->attempt = mtT_resume(X->target_http, &addr, c->token.stream, c->from,
+                            onattempt, c);
     return;
   }
   const mt_pool_t *p = mtF_pool(X->S->fleet, t->pool);
@@ -290,11 +303,12 @@
   s.stream = c->stream;
   s.fresh = fx->u.start.fresh;
   c->token.stream = c->stream ? s.id : 0;
-  c->attempt = mtT_start(X->targets, &s, onattempt, c);
+  c->attempt = mtT_start(X->target_http, &s, onattempt, c);
 }
 
-static void join (mt_front_t *O, conn_t *c, uint64_t leaderid) {
-  conn_t *l = find(O, leaderid);
+/* Attaches a request to the one that already runs with its key. */
+static void join (mt_front_t *O, request_t *c, uint64_t leaderid) {
+  request_t *l = find(O, leaderid);
   if (l == NULL || l->nrecord >= RECORD_MAX) {
     reject(c, MT_IN_PROGRESS, false);
     return;
@@ -303,11 +317,11 @@
   c->nextfollower = l->followers;
   l->followers = c;
   if (l->status == 0) return;
-  beginanswer(c, l);
+  begin_reply(c, l);
   mtB_write(c->r, l->record, l->nrecord);
 }
 
-static void onclaim (void *ud, mt_claimres_t res) {
+static void onclaim (void *ud, mt_claimresult_t res) {
   static const mt_claim_t results[] = {MT_CLAIM_ACQUIRED, MT_CLAIM_HELD,
                                        MT_CLAIM_UNAVAILABLE};
   struct {
@@ -322,7 +336,8 @@
   mtX_step(O->X, &ev);
 }
 
-static void ownername (mt_front_t *O, uint64_t id, char out[64]) {
+/* The owner written into a request's claim: names process and request. */
+static void claim_owner (mt_front_t *O, uint64_t id, char out[64]) {
   snprintf(out, 64, "%s/%016" PRIx64 "/%" PRIu64, "claim", O->X->boot, id);
 }
 
@@ -335,18 +350,18 @@
   w->id = id;
   w->key = key;
   char owner[64];
-  ownername(O, id, owner);
+  claim_owner(O, id, owner);
   mtD_claim(O->X->store, key, owner, onclaim, w);
 }
 
 static void release (mt_front_t *O, uint64_t id, uint64_t key) {
   char owner[64];
-  ownername(O, id, owner);
+  claim_owner(O, id, owner);
   mtD_release(O->X->store, key, owner);
 }
 
 void mtO_effect (mt_front_t *O, const mt_effect_t *fx) {
-  conn_t *c = find(O, fx->req);
+  request_t *c = find(O, fx->req);
   if (fx->kind == MT_FX_RELEASE) release(O, fx->req, fx->u.claim);
   if (c == NULL) return;
   switch (fx->kind) {
@@ -373,7 +388,7 @@
 
 /* {== Requests ========================================================= */
 
-/* SHA-256 of the caller's key; false when there is none. */
+/* SHA-256 of the caller's API key; false when it is missing or too long. */
 static bool keydigest (const mt_webreq_t *r, char out[MT_DIGEST_HEX + 1]) {
   mt_bytes_t h = mtB_header(r, "authorization");
   size_t n = strlen(BEARER);
@@ -383,41 +398,46 @@
   return true;
 }
 
-static uint64_t scoped (const char *digest, mt_bytes_t text) {
+/* Hash of a header within the scope of an API key; 0 when it is missing. */
+static uint64_t scoped_hash (const char *digest, mt_bytes_t text) {
   if (text.n == 0) return 0;
   return mtV_mix(mtV_hash(digest, MT_DIGEST_HEX), mtV_hash(text.p, text.n)) |
          1;
 }
 
-static void readcommon (conn_t *c, const mt_webreq_t *r, const char *digest,
-                        mt_reqparams_t *request) {
+static void read_headers (request_t *c, const mt_webreq_t *r,
+                          const char *digest, mt_reqparams_t *request) {
   const mt_workspace_t *w =
       c->O->X->S->fleet ? mtF_bykey(c->O->X->S->fleet, digest) : NULL;
   c->ws = w ? w->id : 0;
   request->keydigest = digest;
-  request->session = scoped(digest, mtB_header(r, "x-session-id"));
-  request->idem = scoped(digest, mtB_header(r, "idempotency-key"));
-  mt_bytes_t never = mtB_header(r, "x-not-repeatable");
-  if (never.n > 0 && !(never.n == 1 && never.p[0] == '0'))
+  request->session = scoped_hash(digest, mtB_header(r, "x-session-id"));
+  request->idem = scoped_hash(digest, mtB_header(r, "idempotency-key"));
+  mt_bytes_t not_repeatable = mtB_header(r, "x-not-repeatable");
+  if (not_repeatable.n > 0 &&
+      !(not_repeatable.n == 1 && not_repeatable.p[0] == '0'))
     request->repeat = MT_REPEAT_NEVER;
   mt_bytes_t wait = mtB_header(r, "x-max-wait-ms");
   for (size_t i = 0;
        i < wait.n && i < 7 && wait.p[i] >= '0' && wait.p[i] <= '9'; i++)
     request->wait = request->wait * 10 + (mt_ms_t)(wait.p[i] - '0');
-  c->keyed = request->idem != 0;
+  c->has_idem_key = request->idem != 0;
   mt_bytes_t type = mtB_header(r, "content-type");
   if (type.n < sizeof c->type && memchr(type.p, '\r', type.n) == NULL)
     memcpy(c->type, type.p, type.n);
 }
 
-static void submit (conn_t *c, const mt_reqparams_t *request) {
+static void submit (request_t *c, const mt_reqparams_t *request) {
   mt_event_t ev = {.kind = MT_EV_REQUEST, .req = c->id};
   ev.u.request = *request;
   mtX_step(c->O->X, &ev);
 }
 
-/* Targets report their usage at the end of a stream only when asked to. */
-static void setbody (conn_t *c, json_t *doc, mt_bytes_t raw) {
+/*
+** Sets the body for the target. Targets report token usage at the end of a
+** stream only when stream_options.include_usage is set, so it is set here.
+*/
+static void setbody (request_t *c, json_t *doc, mt_bytes_t raw) {
   if (c->stream) {
     json_t *options = json_object_get(doc, "stream_options");
     if (!json_is_object(options)) {
@@ -434,20 +454,21 @@
   c->nbody = raw.n;
 }
 
-/* Says what is wrong with a completion's body, or NULL. */
-static const char *badbody (const json_t *doc) {
+/* The first error in the body of a completion request, or NULL. */
+static const char *body_error (const json_t *doc) {
   const json_t *model = json_object_get(doc, "model");
   const json_t *stream = json_object_get(doc, "stream");
-  const json_t *most = json_object_get(doc, "max_tokens");
+  const json_t *max_tokens = json_object_get(doc, "max_tokens");
   if (!json_is_object(doc)) return "the body must be a JSON object";
   if (!json_is_string(model)) return "$.model must be a string";
   if (stream != NULL && !json_is_boolean(stream))
     return "$.stream must be true or false";
   if (!json_is_array(json_object_get(doc, "messages")))
     return "$.messages must be an array";
-  bool bad = most != NULL &&
-             (!json_is_integer(most) || json_integer_value(most) < 1 ||
-              json_integer_value(most) > MAX_TOKENS);
+  bool bad =
+      max_tokens != NULL &&
+      (!json_is_integer(max_tokens) || json_integer_value(max_tokens) < 1 ||
+       json_integer_value(max_tokens) > MAX_TOKENS);
   return bad ? "$.max_tokens must be an integer, 1 to 1048576" : NULL;
 }
 
@@ -455,16 +476,16 @@
   mt_bytes_t raw = mtB_body(r);
   json_error_t err;
   json_t *doc = json_loadb(raw.p, raw.n, JSON_REJECT_DUPLICATES, &err);
-  const char *bad = doc ? badbody(doc) : err.text;
-  if (bad != NULL) {
-    refusenow(O, r, MT_BAD_REQUEST, bad);
+  const char *error = doc ? body_error(doc) : err.text;
+  if (error != NULL) {
+    refusenow(O, r, MT_BAD_REQUEST, error);
     json_decref(doc);
     return;
   }
-  conn_t *c = newconn(O, r);
+  request_t *c = new_request(O, r);
   mt_reqparams_t request = {.promptbytes = (uint32_t)raw.n,
                             .maxtokens = mtJ_int(doc, "max_tokens", 0)};
-  readcommon(c, r, digest, &request);
+  read_headers(c, r, digest, &request);
   const char *model = mtJ_str(doc, "model", "");
   request.model = (mt_bytes_t){model, strlen(model)};
   request.stream = c->stream = json_is_true(json_object_get(doc, "stream"));
@@ -482,16 +503,17 @@
   while (end < path.n && path.p[end] != '/') end++;
   size_t rest = path.n - end;
   if (end == at || method.n >= 8 ||
-      rest + query.n + 3 > sizeof((conn_t *)0)->path) {
-    refusenow(O, r, MT_BAD_REQUEST,
-              "the path must be /services/NAME/... and not too long");
+      rest + query.n + 3 > sizeof((request_t *)0)->path) {
+    refusenow(
+        O, r, MT_BAD_REQUEST,
+        "the path must be /services/NAME and at most 509 bytes of path and query; the method has at most 7 bytes");
     return;
   }
-  conn_t *c = newconn(O, r);
+  request_t *c = new_request(O, r);
   mt_reqparams_t request = {.service = true,
                             .model = {path.p + at, end - at},
                             .promptbytes = (uint32_t)body.n};
-  readcommon(c, r, digest, &request);
+  read_headers(c, r, digest, &request);
   memcpy(c->method, method.p, method.n);
   snprintf(c->path, sizeof c->path, "%.*s%s%.*s", (int)rest,
            rest ? path.p + end : "", query.n ? "?" : "", (int)query.n,
@@ -540,13 +562,13 @@
   mtB_param(r, "from", from, sizeof from);
   char *end;
   long n = strtol(from, &end, 10);
-  bool good = mtH_verify(&O->X->set, text, &token) &&
-              token.expires >= (uint64_t)time(NULL);
-  if (!good || *end != '\0' || n < 0) {
-    refusenow(O, r, good ? MT_BAD_REQUEST : MT_BAD_TOKEN, NULL);
+  bool valid = mtH_verify(&O->X->set, text, &token) &&
+               token.expires >= (uint64_t)time(NULL);
+  if (!valid || *end != '\0' || n < 0) {
+    refusenow(O, r, valid ? MT_BAD_REQUEST : MT_BAD_TOKEN, NULL);
     return;
   }
-  conn_t *c = newconn(O, r);
+  request_t *c = new_request(O, r);
   c->token = token;
   c->ws = token.ws;
   c->from = n;
@@ -558,8 +580,8 @@
   mtX_step(O->X, &ev);
 }
 
-static bool startswith (mt_bytes_t s, const char *head) {
-  return s.n >= strlen(head) && memcmp(s.p, head, strlen(head)) == 0;
+static bool startswith (mt_bytes_t s, const char *prefix) {
+  return s.n >= strlen(prefix) && memcmp(s.p, prefix, strlen(prefix)) == 0;
 }
 
 void mtO_handle (void *ud, mt_webreq_t *r) {
@@ -584,34 +606,34 @@
 
 /* }== */
 
-/* {== Front ============================================================ */
+/* {== Disconnects and lifetime ========================================= */
 
-/* Tells the reducer of the callers that were found gone. */
-static void tellleft (mt_front_t *O) {
-  while (O->nleft > 0) {
-    conn_t *c = find(O, O->left[--O->nleft]);
+/* Ends the requests whose callers were found to have disconnected. */
+static void flush_disconnected (mt_front_t *O) {
+  while (O->ndisconnected > 0) {
+    request_t *c = find(O, O->disconnected[--O->ndisconnected]);
     if (c == NULL || c->r == NULL) continue;
     mt_webreq_t *r = c->r;
     c->r = NULL;
-    mtB_watch(r, NULL, NULL, NULL);
-    answererror(r, MT_CALLER_LEFT, false, NULL);
+    mtB_set_callbacks(r, NULL, NULL, NULL);
+    reply_error(r, MT_CALLER_LEFT, false, NULL);
     uint64_t id = c->id;
-    tellgone(O, id);
-    if (find(O, id) == c && c->followers == NULL) freeconn(c);
+    report_disconnect(O, id);
+    if (find(O, id) == c && c->followers == NULL) free_request(c);
   }
 }
 
-void mtO_sweep (mt_front_t *O) {
-  mtV_each (&O->conns, i) {
-    conn_t *c = O->conns.vals[i];
-    bool waits = c->r != NULL && !c->begun && c->leader == NULL;
-    if (waits && mtB_left(c->r)) markleft(O, c->id);
+void mtO_check_callers (mt_front_t *O) {
+  mtV_each (&O->requests, i) {
+    request_t *c = O->requests.vals[i];
+    bool unanswered = c->r != NULL && !c->head_sent && c->leader == NULL;
+    if (unanswered && mtB_disconnected(c->r)) mark_disconnected(O, c->id);
   }
-  tellleft(O);
+  flush_disconnected(O);
 }
 
 size_t mtO_count (const mt_front_t *O) {
-  return O->conns.used;
+  return O->requests.used;
 }
 
 mt_front_t *mtO_open (mt_router_t *X) {
@@ -621,8 +643,8 @@
 }
 
 void mtO_close (mt_front_t *O) {
-  mtV_free(&O->conns);
-  free(O->left);
+  mtV_free(&O->requests);
+  free(O->disconnected);
   free(O);
 }
 
--- a/src/mtfront.h
+++ b/src/mtfront.h
@@ -1,5 +1,5 @@
 /*
-** mtfront.h - the callers' side: OpenAI-style requests and plain services
+** mtfront.h - HTTP front end for callers: OpenAI-style API and plain services
 */
 #ifndef mtfront_h
 #define mtfront_h
@@ -7,18 +7,22 @@
 #include "mtrouter.h"
 
 mt_front_t *mtO_open (mt_router_t *X);
+/* Frees the front end, but no requests that are still in progress. */
 void mtO_close (mt_front_t *O);
 
-/* The listener's handler; `ud` is the front. */
+/* Request handler of the callers' listener; `ud` is the mt_front_t. */
 void mtO_handle (void *ud, mt_webreq_t *r);
 
-/* Carries out an effect that concerns a caller or an attempt. */
+/* Executes an effect that concerns a caller, an attempt or a claim. */
 void mtO_effect (mt_front_t *O, const mt_effect_t *fx);
 
-/* Looks for callers that have left; called about once a second. */
-void mtO_sweep (mt_front_t *O);
+/*
+** Ends the requests of callers that have disconnected before their reply
+** began; called every MT_CALLER_CHECK_MS.
+*/
+void mtO_check_callers (mt_front_t *O);
 
-/* Requests at hand. */
+/* Number of requests in progress. */
 size_t mtO_count (const mt_front_t *O);
 
 #endif
--- a/src/mtops.c
+++ b/src/mtops.c
@@ -1,5 +1,5 @@
 /*
-** mtops.c - the operators' side: metrics, health, status, drain
+** mtops.c - HTTP endpoints for operators: metrics, health, status, drain
 */
 #include <stdarg.h>
 #include <stdio.h>
@@ -12,7 +12,7 @@
 #include "mtops.h"
 #include "mtsched.h"
 
-/* A text that grows. */
+/* A growable string. */
 typedef struct text_t {
   char *p;
   size_t n, cap;
@@ -21,6 +21,7 @@
 static void put (text_t *t, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
+/* Appends formatted text, at most 511 bytes of it. */
 static void put (text_t *t, const char *fmt, ...) {
   char line[512];
   va_list ap;
@@ -86,7 +87,10 @@
   }
 }
 
-/* What this process holds now; the most it held would count its parent's. */
+/*
+** Current resident memory in bytes, 0 when it cannot be read. ru_maxrss is
+** not used because it also counts the peak of the parent before exec.
+*/
 static long residentbytes (void) {
   long total = 0, resident = 0;
   FILE *f = fopen("/proc/self/statm", "r");
@@ -168,6 +172,7 @@
   return "-";
 }
 
+/* The schedulers for which this router is the primary. */
 static json_t *schedsof (const mt_state_t *S) {
   json_t *all = json_array();
   mtV_each (&S->scheds, i) {
--- a/src/mtops.h
+++ b/src/mtops.h
@@ -1,12 +1,12 @@
 /*
-** mtops.h - the operators' side: metrics, health, status, drain
+** mtops.h - HTTP endpoints for operators: metrics, health, status, drain
 */
 #ifndef mtops_h
 #define mtops_h
 
 #include "mtrouter.h"
 
-/* The listener's handler; `ud` is the router. */
+/* Request handler of the operators' listener; `ud` is the mt_router_t. */
 void mtI_handle (void *ud, mt_webreq_t *r);
 
 #endif
--- a/src/mtpeer.c
+++ b/src/mtpeer.c
@@ -1,5 +1,5 @@
 /*
-** mtpeer.c - frames between routers over TCP
+** mtpeer.c - authenticated frames between routers over TCP
 */
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
@@ -12,17 +12,17 @@
 #include "mtmem.h"
 #include "mtpeer.h"
 
-#define LENGTH 4             /* bytes of a frame's length */
-#define QUEUE_MAX (4u << 20) /* bytes that wait for one router */
-#define IDLE_MS 60000        /* an unused connection is closed */
-#define SWEEP_MS 1000
-/* Sent and not acknowledged: the connection is dead. */
-#define UNACKED_MS 3000
-#define BACKLOG 256
-#define READ_CHUNK 65536
+#define LENGTH_BYTES 4       /* size of the length field of a frame */
+#define QUEUE_MAX (4u << 20) /* bytes queued for one router */
+#define IDLE_MS 60000        /* then an unused connection is closed */
+#define SWEEP_MS 1000        /* period of the idle check */
+/* TCP_USER_TIMEOUT: a connection with data unacknowledged so long is dead. */
+#define ACK_TIMEOUT_MS 3000
+#define LISTEN_BACKLOG 256
+#define READ_BYTES 65536
 
-typedef struct mt_out_t mt_out_t;
-typedef struct mt_in_t mt_in_t;
+typedef struct mt_outbound_t mt_outbound_t;
+typedef struct mt_inbound_t mt_inbound_t;
 
 struct mt_peers_t {
   uv_loop_t *loop;
@@ -35,33 +35,33 @@
   size_t nkeys;
   const mt_node_t *self;
   uint16_t port;
-  mt_map_t outs; /* address -> mt_out_t */
+  mt_map_t outbound; /* address -> mt_outbound_t */
   bool closing;
 };
 
 /* A connection to another router. */
-struct mt_out_t {
+struct mt_outbound_t {
   uv_tcp_t tcp;
   uv_connect_t connect;
   mt_peers_t *N;
   uint64_t key;
   unsigned char nonce[MT_NONCE_BYTES];
   size_t nnonce;
-  uint64_t counter;
-  char *queue; /* frames that wait for the challenge, each with its length */
+  uint64_t counter; /* number of the next frame */
+  char *queue; /* messages until the challenge arrives, with their lengths */
   size_t nqueue, queue_cap;
-  mt_ms_t used, opened;
-  bool ready, closing;
+  mt_ms_t last_used, opened;
+  bool ready, closing; /* ready: the challenge has arrived */
 };
 
 /* A connection from another router. */
-struct mt_in_t {
+struct mt_inbound_t {
   uv_tcp_t tcp;
   mt_peers_t *N;
   unsigned char nonce[MT_NONCE_BYTES];
   uint64_t counter;
-  int key; /* the key that its first frame was signed with, -1: none yet */
-  mt_id_t from; /* 0 until its first frame */
+  int key;      /* index of the key of its first frame, -1 until then */
+  mt_id_t from; /* sender, 0 until its first frame */
   char *buf;
   size_t n, cap;
 };
@@ -88,43 +88,44 @@
 }
 
 static void putlength (char *p, size_t n) {
-  for (int i = 0; i < LENGTH; i++) p[i] = (char)(n >> (8 * (LENGTH - 1 - i)));
+  for (int i = 0; i < LENGTH_BYTES; i++)
+    p[i] = (char)(n >> (8 * (LENGTH_BYTES - 1 - i)));
 }
 
 static size_t getlength (const char *p) {
   size_t n = 0;
-  for (int i = 0; i < LENGTH; i++) n = n << 8 | (unsigned char)p[i];
+  for (int i = 0; i < LENGTH_BYTES; i++) n = n << 8 | (unsigned char)p[i];
   return n;
 }
 
-/* Frame: length of the rest, code, message. */
-static void writeframe (mt_out_t *o, const char *bytes, size_t n) {
-  char *frame = mtV_new(LENGTH + MT_MAC_BYTES + n);
+/* Frame: length of the rest, MAC, message. */
+static void writeframe (mt_outbound_t *o, const char *bytes, size_t n) {
+  char *frame = mtV_new(LENGTH_BYTES + MT_MAC_BYTES + n);
   putlength(frame, MT_MAC_BYTES + n);
   mtH_mac(o->N->keys[0], o->nonce, o->counter++, bytes, n,
-          (unsigned char *)frame + LENGTH);
-  memcpy(frame + LENGTH + MT_MAC_BYTES, bytes, n);
-  writebytes((uv_stream_t *)&o->tcp, frame, LENGTH + MT_MAC_BYTES + n);
+          (unsigned char *)frame + LENGTH_BYTES);
+  memcpy(frame + LENGTH_BYTES + MT_MAC_BYTES, bytes, n);
+  writebytes((uv_stream_t *)&o->tcp, frame, LENGTH_BYTES + MT_MAC_BYTES + n);
 }
 
 /* }== */
 
-/* {== Outgoing ========================================================= */
+/* {== Outbound connections ============================================= */
 
 static void onoutclosed (uv_handle_t *h) {
-  mt_out_t *o = h->data;
+  mt_outbound_t *o = h->data;
   free(o->queue);
   free(o);
 }
 
-static void closeout (mt_out_t *o) {
+static void closeout (mt_outbound_t *o) {
   if (o->closing) return;
   o->closing = true;
-  if (mtV_get(&o->N->outs, o->key) == o) mtV_del(&o->N->outs, o->key);
+  if (mtV_get(&o->N->outbound, o->key) == o) mtV_del(&o->N->outbound, o->key);
   uv_close((uv_handle_t *)&o->tcp, onoutclosed);
 }
 
-static void sendhello (mt_out_t *o) {
+static void sendhello (mt_outbound_t *o) {
   mt_msg_t m = {.kind = MT_M_HELLO};
   m.u.hello = *o->N->self;
   char *bytes;
@@ -133,13 +134,13 @@
   free(bytes);
 }
 
-static void becomeready (mt_out_t *o) {
+static void start_sending (mt_outbound_t *o) {
   o->ready = true;
   sendhello(o);
   for (size_t at = 0; at < o->nqueue;) {
     size_t n = getlength(o->queue + at);
-    writeframe(o, o->queue + at + LENGTH, n);
-    at += LENGTH + n;
+    writeframe(o, o->queue + at + LENGTH_BYTES, n);
+    at += LENGTH_BYTES + n;
   }
   o->nqueue = 0;
 }
@@ -147,45 +148,46 @@
 static void onalloc (uv_handle_t *h, size_t size, uv_buf_t *buf) {
   (void)h;
   (void)size;
-  *buf = uv_buf_init(mtV_new(READ_CHUNK), READ_CHUNK);
+  *buf = uv_buf_init(mtV_new(READ_BYTES), READ_BYTES);
 }
 
 static void onchallenge (uv_stream_t *s, ssize_t n, const uv_buf_t *buf) {
-  mt_out_t *o = s->data;
+  mt_outbound_t *o = s->data;
   if (n < 0) closeout(o);
   for (ssize_t i = 0; i < n && !o->ready; i++) {
     o->nonce[o->nnonce++] = (unsigned char)buf->base[i];
-    if (o->nnonce == MT_NONCE_BYTES) becomeready(o);
+    if (o->nnonce == MT_NONCE_BYTES) start_sending(o);
   }
   free(buf->base);
 }
 
 static void onconnected (uv_connect_t *req, int status) {
-  mt_out_t *o = req->data;
+  mt_outbound_t *o = req->data;
   if (o->closing) return;
   if (status != 0) {
     closeout(o);
     return;
   }
   uv_tcp_nodelay(&o->tcp, 1);
-  unsigned unacked = UNACKED_MS;
+  unsigned unacked = ACK_TIMEOUT_MS;
   uv_os_fd_t fd;
   if (uv_fileno((uv_handle_t *)&o->tcp, &fd) == 0)
     setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked, sizeof unacked);
   uv_read_start((uv_stream_t *)&o->tcp, onalloc, onchallenge);
 }
 
-static mt_out_t *openout (mt_peers_t *N, const mt_addr_t *to, uint64_t key) {
+static mt_outbound_t *openout (mt_peers_t *N, const mt_addr_t *to,
+                               uint64_t key) {
   struct sockaddr_in a;
   if (uv_ip4_addr(to->ip, to->port, &a) != 0) return NULL;
-  mt_out_t *o = mtV_new(sizeof *o);
+  mt_outbound_t *o = mtV_new(sizeof *o);
   o->N = N;
   o->key = key;
   o->opened = uv_now(N->loop);
   uv_tcp_init(N->loop, &o->tcp);
   o->tcp.data = o;
   o->connect.data = o;
-  mtV_put(&N->outs, key, o);
+  mtV_put(&N->outbound, key, o);
   if (uv_tcp_connect(&o->connect, &o->tcp, (struct sockaddr *)&a,
                      onconnected) == 0)
     return o;
@@ -193,21 +195,21 @@
   return NULL;
 }
 
-static void enqueue (mt_out_t *o, const char *bytes, size_t n) {
-  if (o->nqueue + LENGTH + n > QUEUE_MAX) {
+static void enqueue (mt_outbound_t *o, const char *bytes, size_t n) {
+  if (o->nqueue + LENGTH_BYTES + n > QUEUE_MAX) {
     closeout(o);
     return;
   }
-  if (o->nqueue + LENGTH + n > o->queue_cap) {
-    size_t cap = mt_max(o->queue_cap * 2, o->nqueue + LENGTH + n);
+  if (o->nqueue + LENGTH_BYTES + n > o->queue_cap) {
+    size_t cap = mt_max(o->queue_cap * 2, o->nqueue + LENGTH_BYTES + n);
     char *q = realloc(o->queue, cap);
     if (q == NULL) abort();
     o->queue = q;
     o->queue_cap = cap;
   }
   putlength(o->queue + o->nqueue, n);
-  memcpy(o->queue + o->nqueue + LENGTH, bytes, n);
-  o->nqueue += LENGTH + n;
+  memcpy(o->queue + o->nqueue + LENGTH_BYTES, bytes, n);
+  o->nqueue += LENGTH_BYTES + n;
 }
 
 void mtN_send (mt_peers_t *N, const mt_addr_t *to, const char *bytes,
@@ -215,10 +217,10 @@
   char text[80];
   int len = snprintf(text, sizeof text, "%s:%u", to->ip, to->port);
   uint64_t key = mtV_hash(text, (size_t)len) | 1;
-  mt_out_t *o = mtV_get(&N->outs, key);
+  mt_outbound_t *o = mtV_get(&N->outbound, key);
   if (o == NULL) o = openout(N, to, key);
   if (o == NULL) return;
-  o->used = uv_now(N->loop);
+  o->last_used = uv_now(N->loop);
   if (n == 0) return;
   if (!o->ready) {
     enqueue(o, bytes, n);
@@ -232,22 +234,24 @@
 
 /* }== */
 
-/* {== Incoming ========================================================= */
+/* {== Inbound connections ============================================== */
 
 static void oninclosed (uv_handle_t *h) {
-  mt_in_t *in = h->data;
+  mt_inbound_t *in = h->data;
   free(in->buf);
   free(in);
 }
 
-static void closein (mt_in_t *in) {
+static void closein (mt_inbound_t *in) {
   if (!uv_is_closing((uv_handle_t *)&in->tcp))
     uv_close((uv_handle_t *)&in->tcp, oninclosed);
 }
 
-/* The first frame may be signed with any key; the later ones with the same.
- */
-static bool genuine (mt_in_t *in, const char *frame, size_t n) {
+/*
+** Verifies a frame's MAC. The first frame may be signed with any of the keys;
+** later ones must use the same.
+*/
+static bool authenticate (mt_inbound_t *in, const char *frame, size_t n) {
   unsigned char mac[MT_MAC_BYTES];
   mt_peers_t *N = in->N;
   for (int k = 0; k < (int)N->nkeys; k++) {
@@ -262,11 +266,12 @@
   return false;
 }
 
-static bool handleframe (mt_in_t *in, const char *frame, size_t n) {
+static bool handleframe (mt_inbound_t *in, const char *frame, size_t n) {
   mt_peers_t *N = in->N;
-  if (n < MT_MAC_BYTES || !genuine(in, frame, n)) {
+  if (n < MT_MAC_BYTES || !authenticate(in, frame, n)) {
     mtA_inc(N->counts, MT_C_PEER_BAD_MAC);
-    mtL_log(MT_WARN, MT_L_PEER, "frame with a wrong code; connection closed");
+    mtL_log(MT_WARN, MT_L_PEER,
+            "closing connection: peer frame with a wrong MAC");
     return false;
   }
   mt_msg_t m;
@@ -275,7 +280,8 @@
   if (first && m.kind != MT_M_HELLO) err = MT_MSG_KIND;
   if (err != MT_MSG_OK) {
     mtA_inc(N->counts, MT_C_PEER_BAD_FRAME);
-    mtL_log(MT_WARN, MT_L_PEER, "frame refused: %s", mtW_error(err));
+    mtL_log(MT_WARN, MT_L_PEER, "closing connection: peer frame rejected: %s",
+            mtW_error(err));
     mtW_clear(&m);
     return false;
   }
@@ -285,18 +291,18 @@
   return true;
 }
 
-static bool handlebytes (mt_in_t *in) {
+static bool handlebytes (mt_inbound_t *in) {
   size_t at = 0;
   bool ok = true;
-  while (ok && in->n - at >= LENGTH) {
+  while (ok && in->n - at >= LENGTH_BYTES) {
     size_t n = getlength(in->buf + at);
     if (n > MT_FRAME_MAX) {
       mtA_inc(in->N->counts, MT_C_PEER_BAD_FRAME);
       return false;
     }
-    if (in->n - at < LENGTH + n) break;
-    ok = handleframe(in, in->buf + at + LENGTH, n);
-    at += LENGTH + n;
+    if (in->n - at < LENGTH_BYTES + n) break;
+    ok = handleframe(in, in->buf + at + LENGTH_BYTES, n);
+    at += LENGTH_BYTES + n;
   }
   if (at > 0) memmove(in->buf, in->buf + at, in->n - at);
   in->n -= at;
@@ -304,7 +310,7 @@
 }
 
 static void onframes (uv_stream_t *s, ssize_t n, const uv_buf_t *buf) {
-  mt_in_t *in = s->data;
+  mt_inbound_t *in = s->data;
   bool ok = n >= 0;
   if (n > 0) {
     if (in->n + (size_t)n > in->cap) {
@@ -324,7 +330,7 @@
 static void onincoming (uv_stream_t *listener, int status) {
   mt_peers_t *N = listener->data;
   if (status != 0) return;
-  mt_in_t *in = mtV_new(sizeof *in);
+  mt_inbound_t *in = mtV_new(sizeof *in);
   in->N = N;
   in->key = -1;
   uv_tcp_init(N->loop, &in->tcp);
@@ -347,10 +353,10 @@
 static void onsweep (uv_timer_t *t) {
   mt_peers_t *N = t->data;
   mt_ms_t now = uv_now(N->loop);
-  mtV_each (&N->outs, i) {
-    mt_out_t *o = N->outs.vals[i];
+  mtV_each (&N->outbound, i) {
+    mt_outbound_t *o = N->outbound.vals[i];
     bool stuck = !o->ready && now - o->opened > MT_CONNECT_TIMEOUT_MS;
-    if (now - o->used < IDLE_MS && !stuck) continue;
+    if (now - o->last_used < IDLE_MS && !stuck) continue;
     closeout(o);
     return;
   }
@@ -360,15 +366,15 @@
   return N->port;
 }
 
-void mtN_counts (mt_peers_t *N, mt_counts_t *counts) {
+void mtN_set_counts (mt_peers_t *N, mt_counts_t *counts) {
   N->counts = counts;
 }
 
-void mtN_self (mt_peers_t *N, const mt_node_t *self) {
+void mtN_set_self (mt_peers_t *N, const mt_node_t *self) {
   N->self = self;
 }
 
-void mtN_keys (mt_peers_t *N, const mt_settings_t *set) {
+void mtN_set_keys (mt_peers_t *N, const mt_settings_t *set) {
   memcpy(N->keys, set->keys, sizeof N->keys);
   N->nkeys = set->nkeys;
 }
@@ -379,7 +385,7 @@
   N->loop = loop;
   N->fn = fn;
   N->ud = ud;
-  mtN_keys(N, set);
+  mtN_set_keys(N, set);
   struct sockaddr_in a;
   int len = sizeof a;
   uv_tcp_init(loop, &N->listener);
@@ -387,7 +393,7 @@
   int rc = uv_ip4_addr(set->peers.ip, set->peers.port, &a);
   if (rc == 0) rc = uv_tcp_bind(&N->listener, (struct sockaddr *)&a, 0);
   if (rc == 0)
-    rc = uv_listen((uv_stream_t *)&N->listener, BACKLOG, onincoming);
+    rc = uv_listen((uv_stream_t *)&N->listener, LISTEN_BACKLOG, onincoming);
   if (rc == 0)
     rc = uv_tcp_getsockname(&N->listener, (struct sockaddr *)&a, &len);
   if (rc != 0) {
--- a/src/mtpublish.h
+++ b/src/mtpublish.h
@@ -1,9 +1,9 @@
 /*
-** mtpublish.h - the operators' writes: declarations and policies to the store
+** mtpublish.h - publishes declarations and policies to the store
 **
-** A change writes the parts that are new, each under its digest, and then
-** swaps the head: routers see all of it or nothing. A write whose
-** acknowledgement is lost is resolved by reading the head back.
+** A change writes the new parts, each under its digest, and then replaces the
+** head by compare-and-swap: routers see all of the change or nothing. When an
+** acknowledgement is lost, the head is read back to learn the outcome.
 */
 #ifndef mtpublish_h
 #define mtpublish_h
@@ -11,46 +11,51 @@
 #include "mtfleet.h"
 #include "mtset.h"
 
-/* The configuration as it stands in the store. */
-typedef struct mt_stand_t {
-  int64_t stored;   /* the store's revision of the head, 0: none yet */
-  int64_t revision; /* ours */
-  json_t *doc;      /* pools, targets, workspaces, policies */
-  json_t *history;  /* array of {revision, time, what} */
-} mt_stand_t;
+/* The configuration in the store at one revision. */
+typedef struct mt_snapshot_t {
+  int64_t head_revision; /* the store's, of the head key; 0: no head */
+  int64_t revision;      /* the configuration's own, in the head */
+  json_t *doc;           /* pools, targets, workspaces, policies */
+  json_t *history;       /* array of {revision, time, what} */
+} mt_snapshot_t;
 
 typedef enum mt_uerr_t {
   MT_U_OK,
-  MT_U_STORE,  /* out of reach */
-  MT_U_LOST,   /* another operator's change came first */
-  MT_U_FAULTY, /* the configuration would not be accepted */
-  MT_U_BROKEN  /* what stands in the store cannot be read */
+  MT_U_UNREACHABLE, /* no usable reply from the store */
+  MT_U_CONFLICT,    /* another change has replaced the head */
+  MT_U_INVALID,     /* the new configuration is invalid or too large */
+  MT_U_CORRUPT      /* a stored part is missing, unreadable or invalid */
 } mt_uerr_t;
 
-typedef struct mt_operator_t mt_operator_t;
+typedef struct mt_publisher_t mt_publisher_t;
 
-/* A connection to the store for one command. */
-mt_operator_t *mtU_open (const mt_addr_t *store);
-void mtU_close (mt_operator_t *U);
+/* Opens a store client with an event loop of its own; calls block. */
+mt_publisher_t *mtU_open (const mt_addr_t *store);
+void mtU_close (mt_publisher_t *U);
 
-mt_uerr_t mtU_read (mt_operator_t *U, mt_stand_t *out);
-void mtU_free (mt_stand_t *s);
+/* Reads the configuration; without any, `out` has empty tables. */
+mt_uerr_t mtU_read (mt_publisher_t *U, mt_snapshot_t *out);
+void mtU_free (mt_snapshot_t *s);
 
 /*
-** Puts `doc` in place of what `was` says stands there. `revision` gets the
-** new one; on MT_U_LOST it is the winner's. Faults say why it is refused.
+** Publishes `doc` if the head is still the one of `base`. `revision` gets the
+** new revision, or on MT_U_CONFLICT that of the head in force. `summary` goes
+** into the history. On MT_U_INVALID `fs` lists the errors.
 */
-mt_uerr_t mtU_write (mt_operator_t *U, const mt_stand_t *was, json_t *doc,
-                     const char *what, int64_t *revision, mt_faults_t *fs);
+mt_uerr_t mtU_write (mt_publisher_t *U, const mt_snapshot_t *base,
+                     json_t *doc, const char *summary, int64_t *revision,
+                     mt_faults_t *fs);
 
-/* Reads a directory of declarations into tables; absent files are left out.
- */
+/*
+** Reads a directory of declarations into one table per file. Missing files
+** are skipped; other errors, and a directory without any, go to `fs`.
+*/
 json_t *mtU_load (const char *dir, mt_faults_t *fs);
 
-/* What stands, with the declared tables in place of its own. */
-json_t *mtU_merge (const mt_stand_t *was, const json_t *declared);
+/* A copy of the configuration with the declared tables replaced. */
+json_t *mtU_merge (const mt_snapshot_t *base, const json_t *declared);
 
-/* Prints one line per difference; returns their number. */
+/* Prints one line per difference to stdout; returns their number. */
 size_t mtU_diff (const json_t *from, const json_t *to);
 
 #endif
--- a/src/mtrouter.c
+++ b/src/mtrouter.c
@@ -1,5 +1,5 @@
 /*
-** mtrouter.c - one router: the loop, the reducer and the adapters around it
+** mtrouter.c - one router: event loop, reducer and the adapters around it
 */
 #include <signal.h>
 #include <stdio.h>
@@ -12,12 +12,13 @@
 #include "mtops.h"
 #include "mtrouter.h"
 
-#define SWEEP_TICKS (MT_CALLER_CHECK_MS / MT_TICK_MS)
-#define DRAIN_GRACE_MS 500 /* after the last answer, for its last bytes */
+#define CALLER_CHECK_TICKS (MT_CALLER_CHECK_MS / MT_TICK_MS)
+/* After the last request has ended: time to send buffered reply bytes. */
+#define DRAIN_GRACE_MS 500
 
 /* {== Store ============================================================ */
 
-/* What a store call was for. */
+/* Context of a store request; `digest` is empty for the head. */
 typedef struct storecall_t {
   mt_router_t *X;
   char digest[MT_DIGEST_HEX + 1];
@@ -30,7 +31,7 @@
   return k;
 }
 
-/* The revision that a head says it is. */
+/* The configuration revision in a head document; 0 if it is unreadable. */
 static int64_t headrevision (mt_bytes_t text) {
   json_t *doc = json_loadb(text.p, text.n, 0, NULL);
   int64_t revision = mtJ_int(doc, "revision", 0);
@@ -38,7 +39,7 @@
   return revision;
 }
 
-static void onhead (void *ud, const mt_storeans_t *a) {
+static void onhead (void *ud, const mt_storereply_t *a) {
   storecall_t *k = ud;
   mt_event_t ev = {.kind = MT_EV_CONFIG_HEAD};
   ev.u.config_head.status = a->status;
@@ -49,7 +50,7 @@
   free(k);
 }
 
-static void onpart (void *ud, const mt_storeans_t *a) {
+static void onpart (void *ud, const mt_storereply_t *a) {
   storecall_t *k = ud;
   mt_event_t ev = {.kind = MT_EV_CONFIG_PART};
   ev.u.part.status = a->status;
@@ -120,7 +121,7 @@
   static const mt_event_t tick = {.kind = MT_EV_TICK};
   mt_event_t ev = tick;
   mtX_step(X, &ev);
-  if (++X->ticks % SWEEP_TICKS == 0) mtO_sweep(X->front);
+  if (++X->ticks % CALLER_CHECK_TICKS == 0) mtO_check_callers(X->front);
 }
 
 static void onpeer (void *ud, mt_id_t from, const mt_msg_t *m) {
@@ -137,21 +138,22 @@
   mtX_step(s->data, &ev);
 }
 
-/* Reads the peer keys again, so that they can be rotated without a stop. */
+/* Reloads the peer keys, so that they can be rotated without a restart. */
 static void onhup (uv_signal_t *s, int signum) {
   (void)signum;
   mt_router_t *X = s->data;
   mt_settings_t set;
   mt_faults_t fs = {.n = 0};
-  if (!mtC_read(X->file, &set, &fs)) {
-    mtL_log(MT_ERR, MT_L_ROUTER, "settings not taken: %s: %s", fs.at[0].where,
-            fs.at[0].reason);
+  if (!mtC_read(X->settings_file, &set, &fs)) {
+    mtL_log(MT_ERR, MT_L_ROUTER, "cannot reload settings: %s: %s",
+            fs.at[0].where, fs.at[0].reason);
     return;
   }
   memcpy(X->set.keys, set.keys, sizeof set.keys);
   X->set.nkeys = set.nkeys;
-  mtN_keys(X->peers, &set);
-  mtL_log(MT_INFO, MT_L_ROUTER, "took %zu peer keys", set.nkeys);
+  mtN_set_keys(X->peers, &set);
+  mtL_log(MT_INFO, MT_L_ROUTER, "reloaded settings: %zu peer keys",
+          set.nkeys);
 }
 
 static void onstop (uv_timer_t *t) {
@@ -159,13 +161,13 @@
 }
 
 static void stop (mt_router_t *X) {
-  mtL_log(MT_INFO, MT_L_ROUTER, "all is finished");
+  mtL_log(MT_INFO, MT_L_ROUTER, "drained; stopping");
   mtB_close(X->callers);
   uv_timer_start(&X->tick, onstop, DRAIN_GRACE_MS, 0);
 }
 
-static void watchsignal (mt_router_t *X, uv_signal_t *s, int signum,
-                         uv_signal_cb cb) {
+static void start_signal (mt_router_t *X, uv_signal_t *s, int signum,
+                          uv_signal_cb cb) {
   uv_signal_init(&X->loop, s);
   s->data = X;
   uv_signal_start(s, cb, signum);
@@ -182,9 +184,9 @@
   if (X->peers == NULL) goto fail;
   if (X->set.advertise.port == 0) X->set.advertise.port = mtN_port(X->peers);
   X->S = mtR_new(&X->set, uv_now(&X->loop), X->boot, X->boot);
-  mtN_counts(X->peers, &X->S->counts);
-  mtN_self(X->peers, &X->S->members.self->node);
-  X->targets = mtY_open(&X->loop, MT_TARGET_IDLE_MS);
+  mtN_set_counts(X->peers, &X->S->counts);
+  mtN_set_self(X->peers, &X->S->members.self->node);
+  X->target_http = mtY_open(&X->loop, MT_TARGET_IDLE_MS);
   X->store = mtD_open(&X->loop, &X->set.store, &X->S->counts);
   X->callers = mtB_open(&X->loop, X->set.callers.ip, X->set.callers.port,
                         mtO_handle, X->front, reason, sizeof reason);
@@ -199,7 +201,7 @@
   return false;
 }
 
-/* One line that tells scripts where this router listens. */
+/* Prints the listening addresses as one line of JSON, for scripts. */
 static void announce (const mt_router_t *X) {
   printf(
       "{\"node\": \"%s\", \"callers\": \"%s:%u\", \"operators\": \"%s:%u\", \"peers\": \"%s:%u\"}\n",
@@ -209,7 +211,10 @@
   fflush(stdout);
 }
 
-/* The process's number: wall-clock time, so that a later one is larger. */
+/*
+** Identifies this process: wall-clock time in microseconds, so that a later
+** start of the same router has a larger number.
+*/
 static uint64_t bootnumber (void) {
   struct timespec ts;
   clock_gettime(CLOCK_REALTIME, &ts);
@@ -221,7 +226,7 @@
   mt_router_t *X = mtV_new(sizeof *X);
   mt_faults_t fs = {.n = 0};
   X->set = none;
-  X->file = settingsfile;
+  X->settings_file = settingsfile;
   if (!mtC_read(settingsfile, &X->set, &fs)) {
     for (size_t i = 0; i < fs.n; i++)
       fprintf(stderr, "%s: %s: %s\n", settingsfile, fs.at[i].where,
@@ -234,9 +239,9 @@
   X->boot = bootnumber();
   uv_loop_init(&X->loop);
   if (!openall(X)) return 1;
-  watchsignal(X, &X->term, SIGTERM, onterm);
-  watchsignal(X, &X->intr, SIGINT, onterm);
-  watchsignal(X, &X->hup, SIGHUP, onhup);
+  start_signal(X, &X->term, SIGTERM, onterm);
+  start_signal(X, &X->intr, SIGINT, onterm);
+  start_signal(X, &X->hup, SIGHUP, onhup);
   uv_timer_init(&X->loop, &X->tick);
   X->tick.data = X;
   uv_timer_start(&X->tick, ontick, 0, MT_TICK_MS);
--- a/src/mtstore.c
+++ b/src/mtstore.c
@@ -1,5 +1,5 @@
 /*
-** mtstore.c - the platform's key-value service, over HTTP
+** mtstore.c - client of the platform's key-value store, over HTTP
 */
 #include <inttypes.h>
 #include <stdio.h>
@@ -9,24 +9,25 @@
 #include "mtmem.h"
 #include "mtstore.h"
 
-#define SILENCE_MS (MT_LONG_POLL_MS + 2000)
-#define KEY_BYTES 160
+/* The store holds a watch open for MT_LONG_POLL_MS; the rest is a margin. */
+#define WATCH_TIMEOUT_MS (MT_LONG_POLL_MS + 2000)
+#define KEY_BYTES 160 /* of a key or a request path */
 #define OWNER_BYTES 96
-#define CLAIM_TRIES 5
-#define CLAIM_TTL_MS 86400000  /* a claim is remembered for a day */
-#define LEASE_RENEW_MS 3600000 /* claims of one hour share a lease */
+#define CLAIM_ATTEMPTS_MAX 5
+#define CLAIM_TTL_MS 86400000  /* lease time of claims: one day */
+#define LEASE_RENEW_MS 3600000 /* claims within one hour share a lease */
 
 struct mt_store_t {
   uv_loop_t *loop;
-  mt_http_t *http, *slow; /* slow: for watches */
+  mt_http_t *http, *watch_http; /* watches need a longer timeout */
   mt_addr_t addr;
   mt_counts_t *counts;
-  char lease[32];
-  mt_ms_t leased;
+  char lease[32]; /* id of the current lease for claims, or empty */
+  mt_ms_t lease_created;
 };
 
-/* One call and its answer so far. */
-typedef struct ask_t {
+/* One request and its reply so far. */
+typedef struct call_t {
   mt_store_t *D;
   mt_storefn_t fn;
   void *ud;
@@ -34,11 +35,11 @@
   int64_t revision;
   char *text;
   size_t n, cap;
-} ask_t;
+} call_t;
 
-/* {== Calls ============================================================ */
+/* {== Requests ========================================================= */
 
-static void gather (ask_t *k, mt_bytes_t data) {
+static void append_body (call_t *k, mt_bytes_t data) {
   if (k->n + data.n > MT_VALUE_MAX) {
     k->status = 0;
     return;
@@ -49,15 +50,15 @@
   k->n += data.n;
 }
 
-static void onanswer (void *ud, mt_call_t *call, const mt_callev_t *ev) {
+static void onreply (void *ud, mt_call_t *call, const mt_callev_t *ev) {
   (void)call;
-  ask_t *k = ud;
+  call_t *k = ud;
   switch (ev->kind) {
     case MT_CALL_HEAD:
       k->status = ev->status;
       k->revision = ev->revision.n ? strtoll(ev->revision.p, NULL, 10) : 0;
       return;
-    case MT_CALL_BODY: gather(k, ev->data); return;
+    case MT_CALL_BODY: append_body(k, ev->data); return;
     case MT_CALL_FAILED: k->status = 0; break;
     case MT_CALL_END: break;
   }
@@ -65,30 +66,31 @@
     if (k->D->counts) mtA_inc(k->D->counts, MT_C_STORE_FAILED);
     k->status = 0;
   }
-  mt_storeans_t a = {k->status, k->revision, {k->text ? k->text : "", k->n}};
+  mt_storereply_t a = {
+      k->status, k->revision, {k->text ? k->text : "", k->n}};
   if (k->fn) k->fn(k->ud, &a);
   free(k->text);
   free(k);
 }
 
-static void ask (mt_store_t *D, mt_http_t *http, const char *method,
-                 const char *path, mt_bytes_t body, mt_storefn_t fn,
-                 void *ud) {
-  ask_t *k = mtV_new(sizeof *k);
+static void send_request (mt_store_t *D, mt_http_t *http, const char *method,
+                          const char *path, mt_bytes_t body, mt_storefn_t fn,
+                          void *ud) {
+  call_t *k = mtV_new(sizeof *k);
   k->D = D;
   k->fn = fn;
   k->ud = ud;
   if (D->counts) mtA_inc(D->counts, MT_C_STORE_CALLS);
   mt_callspec_t spec = {D->addr, method, path, NULL, body, false};
-  mtY_call(http, &spec, onanswer, k);
+  mtY_call(http, &spec, onreply, k);
 }
 
-static const mt_bytes_t nothing = {"", 0};
+static const mt_bytes_t empty_body = {"", 0};
 
 void mtD_get (mt_store_t *D, const char *key, mt_storefn_t fn, void *ud) {
   char path[KEY_BYTES];
   snprintf(path, sizeof path, "/kv/%s", key);
-  ask(D, D->http, "GET", path, nothing, fn, ud);
+  send_request(D, D->http, "GET", path, empty_body, fn, ud);
 }
 
 void mtD_put (mt_store_t *D, const char *key, int64_t expect,
@@ -97,14 +99,14 @@
   char path[KEY_BYTES];
   snprintf(path, sizeof path, "/kv/%s?if=%" PRId64 "%s%s", key, expect,
            lease ? "&lease=" : "", lease ? lease : "");
-  ask(D, D->http, "PUT", path, value, fn, ud);
+  send_request(D, D->http, "PUT", path, value, fn, ud);
 }
 
 void mtD_delete (mt_store_t *D, const char *key, int64_t expect,
                  mt_storefn_t fn, void *ud) {
   char path[KEY_BYTES];
   snprintf(path, sizeof path, "/kv/%s?if=%" PRId64, key, expect);
-  ask(D, D->http, "DELETE", path, nothing, fn, ud);
+  send_request(D, D->http, "DELETE", path, empty_body, fn, ud);
 }
 
 void mtD_watch (mt_store_t *D, const char *key, int64_t after,
@@ -112,82 +114,85 @@
   char path[KEY_BYTES];
   snprintf(path, sizeof path, "/watch/%s?after=%" PRId64 "&wait=%d", key,
            after, MT_LONG_POLL_MS);
-  ask(D, D->slow, "GET", path, nothing, fn, ud);
+  send_request(D, D->watch_http, "GET", path, empty_body, fn, ud);
 }
 
 /* }== */
 
 /* {== Claims =========================================================== */
 
-/* A claim on its way: lease, write, and reading back what is unknown. */
+/*
+** A claim in progress: obtain a lease, write, and read back if the outcome of
+** the write is unknown.
+*/
 typedef struct claim_t {
   mt_store_t *D;
   char key[KEY_BYTES];
   char owner[OWNER_BYTES];
   mt_claimfn_t fn;
   void *ud;
-  int tries;
-  mt_ms_t begun;
+  int attempts;
+  mt_ms_t started;
 } claim_t;
 
 static void writeclaim (claim_t *c);
 
-static void endclaim (claim_t *c, mt_claimres_t res) {
+static void finish_claim (claim_t *c, mt_claimresult_t res) {
   c->fn(c->ud, res);
   free(c);
 }
 
-static bool ours (const claim_t *c, mt_bytes_t text) {
+static bool is_owner (const claim_t *c, mt_bytes_t text) {
   return text.n == strlen(c->owner) && memcmp(text.p, c->owner, text.n) == 0;
 }
 
-static void again (claim_t *c) {
-  bool late = uv_now(c->D->loop) - c->begun >= MT_CLAIM_TIMEOUT_MS;
-  if (++c->tries >= CLAIM_TRIES || late)
-    endclaim(c, MT_CR_AWAY);
+static void retry_claim (claim_t *c) {
+  bool late = uv_now(c->D->loop) - c->started >= MT_CLAIM_TIMEOUT_MS;
+  if (++c->attempts >= CLAIM_ATTEMPTS_MAX || late)
+    finish_claim(c, MT_CR_UNREACHABLE);
   else
     writeclaim(c);
 }
 
-static void onreadback (void *ud, const mt_storeans_t *a) {
+static void onreadback (void *ud, const mt_storereply_t *a) {
   claim_t *c = ud;
   if (a->status == 404)
-    c->D->lease[0] = '\0'; /* it may be the lease that ended */
+    c->D->lease[0] = '\0'; /* the lease may have expired: get a new one */
   if (a->status == 200)
-    endclaim(c, ours(c, a->text) ? MT_CR_OURS : MT_CR_OTHERS);
+    finish_claim(c, is_owner(c, a->text) ? MT_CR_OWNED : MT_CR_TAKEN);
   else
-    again(c);
+    retry_claim(c);
 }
 
-static void onwritten (void *ud, const mt_storeans_t *a) {
+static void onwritten (void *ud, const mt_storereply_t *a) {
   claim_t *c = ud;
   if (a->status == 200)
-    endclaim(c, MT_CR_OURS);
+    finish_claim(c, MT_CR_OWNED);
   else
     mtD_get(c->D, c->key, onreadback, c);
 }
 
-static void onlease (void *ud, const mt_storeans_t *a) {
+static void onlease (void *ud, const mt_storereply_t *a) {
   claim_t *c = ud;
   if (a->status == 200 && a->text.n > 0 && a->text.n < sizeof c->D->lease) {
     memcpy(c->D->lease, a->text.p, a->text.n);
     c->D->lease[a->text.n] = '\0';
-    c->D->leased = uv_now(c->D->loop);
+    c->D->lease_created = uv_now(c->D->loop);
   }
   if (a->status == 200)
     writeclaim(c);
   else
-    again(c);
+    retry_claim(c);
 }
 
 static void writeclaim (claim_t *c) {
   mt_store_t *D = c->D;
-  bool fresh =
-      D->lease[0] != '\0' && uv_now(D->loop) - D->leased < LEASE_RENEW_MS;
+  bool fresh = D->lease[0] != '\0' &&
+               uv_now(D->loop) - D->lease_created < LEASE_RENEW_MS;
   if (!fresh) {
     char path[64];
     snprintf(path, sizeof path, "/lease?ttl=%d", CLAIM_TTL_MS);
-    ask(D, D->http, "POST", path, nothing, onlease, c);
+    send_request(D, D->http, "POST", path, empty_body, onlease, c);
     return;
   }
   mtD_put(D, c->key, 0, D->lease, (mt_bytes_t){c->owner, strlen(c->owner)},
@@ -197,7 +202,7 @@
 static claim_t *newclaim (mt_store_t *D, uint64_t key, const char *owner) {
   claim_t *c = mtV_new(sizeof *c);
   c->D = D;
-  c->begun = uv_now(D->loop);
+  c->started = uv_now(D->loop);
   snprintf(c->key, sizeof c->key, MT_KEY_CLAIM "%016" PRIx64, key);
   snprintf(c->owner, sizeof c->owner, "%s", owner);
   return c;
@@ -211,9 +216,9 @@
   writeclaim(c);
 }
 
-static void onreleaseread (void *ud, const mt_storeans_t *a) {
+static void onreleaseread (void *ud, const mt_storereply_t *a) {
   claim_t *c = ud;
-  if (a->status == 200 && ours(c, a->text))
+  if (a->status == 200 && is_owner(c, a->text))
     mtD_delete(c->D, c->key, a->revision, NULL, NULL);
   free(c);
 }
@@ -232,12 +237,12 @@
   D->addr = *addr;
   D->counts = counts;
   D->http = mtY_open(loop, MT_CONNECT_TIMEOUT_MS);
-  D->slow = mtY_open(loop, SILENCE_MS);
+  D->watch_http = mtY_open(loop, WATCH_TIMEOUT_MS);
   return D;
 }
 
 void mtD_close (mt_store_t *D) {
   mtY_close(D->http);
-  mtY_close(D->slow);
+  mtY_close(D->watch_http);
   free(D);
 }
--- a/src/mttarget.c
+++ b/src/mttarget.c
@@ -1,5 +1,5 @@
 /*
-** mttarget.c - attempts at targets: OpenAI-style engines and plain services
+** mttarget.c - attempts: single requests to engines and plain services
 */
 #include <inttypes.h>
 #include <stdio.h>
@@ -9,9 +9,10 @@
 #include "mtmem.h"
 #include "mttarget.h"
 
-#define LINE_CAP (64u << 10) /* one event line that is looked into */
-#define STATUS_BUSY 429
-#define STATUS_AWAY 503
+/* Bytes of an event line that are buffered; pieces beyond are dropped. */
+#define EVENT_LINE_MAX (64u << 10)
+#define STATUS_TOO_MANY_REQUESTS 429
+#define STATUS_UNAVAILABLE 503
 
 struct mt_attempt_t {
   mt_http_t *http;
@@ -21,17 +22,18 @@
   mt_addr_t addr;
   uint64_t id;
   mt_poolkind_t kind;
-  bool done;           /* the stream has said that it is whole */
-  bool stream, events; /* the answer is a stream of events */
+  bool done_seen; /* the stream has sent [DONE] */
+  /* stream: one was requested; is_event_stream: the reply is one */
+  bool stream, is_event_stream;
   int64_t prompt, output;
   int status;
-  char *line; /* the event line, or the whole answer, so far */
+  char *buf; /* current event line, or the JSON reply, so far */
   size_t n, cap;
 };
 
-/* {== Reading answers ================================================== */
+/* {== Reading replies ================================================== */
 
-/* Learns the usage; false when the text is not whole. */
+/* Reads the token usage from a JSON text; false when it is not valid JSON. */
 static bool readusage (mt_attempt_t *a, const char *p, size_t n) {
   json_t *doc = json_loadb(p, n, 0, NULL);
   const json_t *usage = json_object_get(doc, "usage");
@@ -39,23 +41,26 @@
     a->prompt = mtJ_int(usage, "prompt_tokens", -1);
     a->output = mtJ_int(usage, "completion_tokens", -1);
   }
-  bool whole = doc != NULL;
+  bool valid = doc != NULL;
   json_decref(doc);
-  return whole;
+  return valid;
 }
 
-static bool contains (const char *p, size_t n, const char *what) {
-  return memmem(p, n, what, strlen(what)) != NULL;
+static bool contains (const char *p, size_t n, const char *text) {
+  return memmem(p, n, text, strlen(text)) != NULL;
 }
 
-/* One whole line of an event stream; returns the tokens in it. */
+/*
+** Handles one complete line of an event stream. Returns the output tokens in
+** it: each event with "content" counts as one.
+*/
 static int64_t readeventline (mt_attempt_t *a) {
-  static const char head[] = "data:";
-  if (a->n < sizeof head || memcmp(a->line, head, sizeof head - 1) != 0)
+  static const char prefix[] = "data:";
+  if (a->n < sizeof prefix || memcmp(a->buf, prefix, sizeof prefix - 1) != 0)
     return 0;
-  const char *p = a->line + sizeof head - 1;
-  size_t n = a->n - (sizeof head - 1);
-  if (contains(p, n, "[DONE]")) a->done = true;
+  const char *p = a->buf + sizeof prefix - 1;
+  size_t n = a->n - (sizeof prefix - 1);
+  if (contains(p, n, "[DONE]")) a->done_seen = true;
   if (contains(p, n, "\"usage\":{")) {
     readusage(a, p, n);
     return 0;
@@ -63,15 +68,16 @@
   return contains(p, n, "\"content\"") ? 1 : 0;
 }
 
-static void keep (mt_attempt_t *a, const char *p, size_t n, size_t most) {
-  if (a->n + n > most) return;
+/* Appends to the buffer, unless it would grow beyond `max` bytes. */
+static void append (mt_attempt_t *a, const char *p, size_t n, size_t max) {
+  if (a->n + n > max) return;
   if (a->n + n > a->cap) {
     a->cap = mt_max(a->cap * 2, a->n + n);
-    char *q = realloc(a->line, a->cap);
+    char *q = realloc(a->buf, a->cap);
     if (q == NULL) abort();
-    a->line = q;
+    a->buf = q;
   }
-  memcpy(a->line + a->n, p, n);
+  memcpy(a->buf + a->n, p, n);
   a->n += n;
 }
 
@@ -81,7 +87,7 @@
   while (at < data.n) {
     const char *nl = memchr(data.p + at, '\n', data.n - at);
     size_t end = nl ? (size_t)(nl - data.p) : data.n;
-    keep(a, data.p + at, end - at, LINE_CAP);
+    append(a, data.p + at, end - at, EVENT_LINE_MAX);
     at = end + 1;
     if (nl == NULL) break;
     tokens += readeventline(a);
@@ -95,12 +101,13 @@
 /* {== Calls ============================================================ */
 
 static void freeattempt (mt_attempt_t *a) {
-  free(a->line);
+  free(a->buf);
   free(a);
 }
 
 static void onhead (mt_attempt_t *a, const mt_callev_t *ev) {
-  bool busy = ev->status == STATUS_BUSY || ev->status == STATUS_AWAY;
+  bool busy = ev->status == STATUS_TOO_MANY_REQUESTS ||
+              ev->status == STATUS_UNAVAILABLE;
   if (busy && a->kind == MT_POOL_MODEL) {
     mt_attev_t out = {.kind = MT_ATT_FAILED, .notrun = true, .busy = true};
     mtY_cancel(a->call);
@@ -109,7 +116,7 @@
     return;
   }
   a->status = ev->status;
-  a->events =
+  a->is_event_stream =
       ev->type.n >= 17 && memcmp(ev->type.p, "text/event-stream", 17) == 0;
   mt_attev_t out = {.kind = MT_ATT_HEAD,
                     .status = ev->status,
@@ -120,20 +127,22 @@
 
 static void onbody (mt_attempt_t *a, const mt_callev_t *ev) {
   mt_attev_t out = {.kind = MT_ATT_CHUNK, .data = ev->data};
-  if (a->events)
+  if (a->is_event_stream)
     out.tokens = readevents(a, ev->data);
   else if (a->kind == MT_POOL_MODEL)
-    keep(a, ev->data.p, ev->data.n, MT_VALUE_MAX);
+    append(a, ev->data.p, ev->data.n, MT_VALUE_MAX);
   a->fn(a->ud, &out);
 }
 
 /*
-** An answer without a length ends with its connection, cut or whole. So a
-** stream must have said that it is done, and an answer must be JSON.
+** Whether a model's reply is complete. A reply without a length ends with its
+** connection, so a truncated one looks like a complete one: a stream must
+** have sent [DONE], and any other reply must be empty or valid JSON.
 */
-static bool complete (mt_attempt_t *a) {
+static bool is_complete (mt_attempt_t *a) {
   if (a->kind != MT_POOL_MODEL || a->status != 200) return true;
-  return a->events ? a->done : a->n == 0 || readusage(a, a->line, a->n);
+  return a->is_event_stream ? a->done_seen
+                            : a->n == 0 || readusage(a, a->buf, a->n);
 }
 
 static void oncall (void *ud, mt_call_t *call, const mt_callev_t *ev) {
@@ -144,7 +153,7 @@
     case MT_CALL_HEAD: onhead(a, ev); return;
     case MT_CALL_BODY: onbody(a, ev); return;
     case MT_CALL_END:
-      if (!complete(a)) {
+      if (!is_complete(a)) {
         out = (mt_attev_t){.kind = MT_ATT_FAILED};
         break;
       }
@@ -161,9 +170,9 @@
   freeattempt(a);
 }
 
-static mt_attempt_t *begin (mt_http_t *http, const mt_addr_t *addr,
-                            uint64_t id, mt_poolkind_t kind, mt_attfn_t fn,
-                            void *ud) {
+static mt_attempt_t *new_attempt (mt_http_t *http, const mt_addr_t *addr,
+                                  uint64_t id, mt_poolkind_t kind,
+                                  mt_attfn_t fn, void *ud) {
   mt_attempt_t *a = mtV_new(sizeof *a);
   a->http = http;
   a->fn = fn;
@@ -177,7 +186,7 @@
 
 mt_attempt_t *mtT_start (mt_http_t *http, const mt_attspec_t *s,
                          mt_attfn_t fn, void *ud) {
-  mt_attempt_t *a = begin(http, &s->addr, s->id, s->kind, fn, ud);
+  mt_attempt_t *a = new_attempt(http, &s->addr, s->id, s->kind, fn, ud);
   char headers[512];
   int typelen = (int)mt_min(s->type.n, 200);
   snprintf(headers, sizeof headers,
@@ -194,7 +203,7 @@
 
 mt_attempt_t *mtT_resume (mt_http_t *http, const mt_addr_t *addr, uint64_t id,
                           long from, mt_attfn_t fn, void *ud) {
-  mt_attempt_t *a = begin(http, addr, id, MT_POOL_MODEL, fn, ud);
+  mt_attempt_t *a = new_attempt(http, addr, id, MT_POOL_MODEL, fn, ud);
   char path[96];
   snprintf(path, sizeof path, "/v1/streams/%016" PRIx64 "?from=%ld", id,
            from);
--- a/src/mtweb.c
+++ b/src/mtweb.c
@@ -1,5 +1,5 @@
 /*
-** mtweb.c - an HTTP listener for callers and operators, on src/net
+** mtweb.c - HTTP server of the router, on src/net
 */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,10 +9,11 @@
 #include "mtmem.h"
 #include "mtweb.h"
 
-#define IDLE_MS 300000 /* an idle connection is kept this long */
-#define TICK_MS 500
-#define HEADER_BYTES 65536
-#define LINES_MAX 2048 /* bytes of an answer's own header lines */
+#define IDLE_MS 300000     /* limit for idling and for receiving a request */
+#define TICK_MS 500        /* period of the time-limit checks */
+#define HEADER_BYTES 65536 /* limit of a request's header */
+/* Limit of a reply's header lines in bytes; lines beyond it are dropped. */
+#define HEADER_LINES_MAX 2048
 
 struct mt_web_t {
   mt_http_server_t *server;
@@ -20,18 +21,18 @@
   mt_webfn_t fn;
   void *ud;
   uint16_t port;
-  mt_webreq_t *ended; /* freed by the tick: their handlers may still look */
+  mt_webreq_t *ended; /* freed by the next tick, as handlers may use them */
 };
 
 struct mt_webreq_t {
   mt_web_t *web;
-  mt_http_exchange_t *exchange; /* NULL: the answer is out, or nobody waits */
-  mt_webreq_t *next;            /* in the list of ended ones */
+  mt_http_exchange_t *exchange; /* NULL: reply ended or caller disconnected */
+  mt_webreq_t *next;            /* in the list of ended requests */
   void *ud;
-  mt_webgone_t gone;
+  mt_webclosed_t gone;
   mt_webdrained_t drained;
-  int64_t length;
-  bool begun;
+  int64_t length; /* of the reply's body, or MT_HTTP_CHUNKED */
+  bool head_sent;
 };
 
 static const mt_http_server_limits_t limits = {.header_bytes = HEADER_BYTES,
@@ -49,10 +50,10 @@
 /* {== Sending ========================================================== */
 
 void mtB_begin (mt_webreq_t *r, int status, const mt_header_t *h, size_t n) {
-  char lines[LINES_MAX];
+  char lines[HEADER_LINES_MAX];
   size_t used = 0;
-  if (r->begun || r->exchange == NULL) return;
-  r->begun = true;
+  if (r->head_sent || r->exchange == NULL) return;
+  r->head_sent = true;
   for (size_t i = 0; i < n; i++) {
     int size = snprintf(lines + used, sizeof lines - used, "%s: %s\r\n",
                         h[i].name, h[i].value);
@@ -62,7 +63,7 @@
   mt_http_exchange_head(r->exchange, status, lines, used, r->length);
 }
 
-void mtB_length (mt_webreq_t *r, size_t n) {
+void mtB_set_length (mt_webreq_t *r, size_t n) {
   r->length = (int64_t)n;
 }
 
@@ -84,7 +85,7 @@
 
 void mtB_reply (mt_webreq_t *r, int status, const mt_header_t *h, size_t n,
                 const char *body, size_t size) {
-  mtB_length(r, size);
+  mtB_set_length(r, size);
   mtB_begin(r, status, h, n);
   mtB_write(r, body, size);
   mtB_end(r);
@@ -108,11 +109,11 @@
   web->fn(web->ud, r);
 }
 
-static void on_gone (void *ud, mt_http_exchange_t *exchange) {
+static void on_closed (void *ud, mt_http_exchange_t *exchange) {
   mt_webreq_t *r = mt_http_exchange_user(exchange);
   if (r == NULL) return;
   void *watcher = r->ud;
-  mt_webgone_t gone = r->gone;
+  mt_webclosed_t gone = r->gone;
   finish(r);
   if (gone != NULL && watcher != NULL) gone(watcher, r);
 }
@@ -173,15 +174,15 @@
          p.n == strlen(path) && memcmp(p.p, path, p.n) == 0;
 }
 
-void mtB_watch (mt_webreq_t *r, void *ud, mt_webgone_t gone,
-                mt_webdrained_t drained) {
+void mtB_set_callbacks (mt_webreq_t *r, void *ud, mt_webclosed_t gone,
+                        mt_webdrained_t drained) {
   r->ud = ud;
   r->gone = gone;
   r->drained = drained;
 }
 
-/* Whoever leaves is noticed at once: its exchange is over then. */
-bool mtB_left (const mt_webreq_t *r) {
+/* on_closed clears the exchange as soon as a disconnect is detected. */
+bool mtB_disconnected (const mt_webreq_t *r) {
   return r->exchange == NULL;
 }
 
@@ -190,7 +191,7 @@
 /* {== Listener ========================================================= */
 
 static const mt_http_server_handler_t handler = {
-    .request = on_request, .gone = on_gone, .drained = on_drained};
+    .request = on_request, .gone = on_closed, .drained = on_drained};
 
 static void on_tick (uv_timer_t *timer) {
   mt_web_t *web = timer->data;
--- a/src/mtweb.h
+++ b/src/mtweb.h
@@ -1,5 +1,5 @@
 /*
-** mtweb.h - an HTTP listener for callers and operators, on src/net
+** mtweb.h - HTTP server of the router, on src/net
 */
 #ifndef mtweb_h
 #define mtweb_h
@@ -8,28 +8,31 @@
 
 #include "mtobject.h"
 
-typedef struct mt_web_t mt_web_t;
-typedef struct mt_webreq_t mt_webreq_t;
+typedef struct mt_web_t mt_web_t;       /* a listener */
+typedef struct mt_webreq_t mt_webreq_t; /* a request and its reply */
 
 typedef struct mt_header_t {
   const char *name, *value;
 } mt_header_t;
 
-/* A request has arrived whole. The handler answers now or later. */
+/* A complete request has arrived. The handler replies now or later. */
 typedef void (*mt_webfn_t)(void *ud, mt_webreq_t *r);
 
-/* The caller left before the answer was through; `r` ends with the call. */
-typedef void (*mt_webgone_t)(void *ud, mt_webreq_t *r);
+/*
+** The caller disconnected before the reply was complete; `r` must not be used
+** after the callback.
+*/
+typedef void (*mt_webclosed_t)(void *ud, mt_webreq_t *r);
 
-/* All that was written has been sent. */
+/* All that was written has been handed to the kernel. */
 typedef void (*mt_webdrained_t)(void *ud, mt_webreq_t *r);
 
-/* Listens; NULL and a reason when that fails. Port 0 takes a free one. */
+/* Listens; NULL and a reason when that fails. Port 0 picks a free port. */
 mt_web_t *mtB_open (uv_loop_t *loop, const char *ip, uint16_t port,
                     mt_webfn_t fn, void *ud, char *reason, size_t size);
 uint16_t mtB_port (const mt_web_t *web);
 
-/* Stops taking connections; those at hand are finished. */
+/* Stops accepting connections; requests in progress are completed. */
 void mtB_close (mt_web_t *web);
 
 /* {== The request ====================================================== */
@@ -46,30 +49,32 @@
 /* True when the method and path are these. */
 bool mtB_is (const mt_webreq_t *r, const char *method, const char *path);
 
-/* Names who is told of this request's end; `ud` NULL: nobody. */
-void mtB_watch (mt_webreq_t *r, void *ud, mt_webgone_t gone,
-                mt_webdrained_t drained);
+/* Sets the callbacks of a request; `ud` NULL: none is called. */
+void mtB_set_callbacks (mt_webreq_t *r, void *ud, mt_webclosed_t gone,
+                        mt_webdrained_t drained);
 
-/* True when the caller has closed its side of the connection. */
-bool mtB_left (const mt_webreq_t *r);
+/* True when the caller has disconnected, or the reply has ended. */
+bool mtB_disconnected (const mt_webreq_t *r);
 
 /* }== */
 
-/* {== The answer ======================================================= */
+/* {== The reply ======================================================== */
 
-/* A whole answer at once. */
+/* Sends a complete reply: head and body. */
 void mtB_reply (mt_webreq_t *r, int status, const mt_header_t *h, size_t n,
                 const char *body, size_t size);
 
-/* Says how long the answer will be; before mtB_begin. */
-void mtB_length (mt_webreq_t *r, size_t n);
+/*
+** Sets the length of the body, in bytes; to be called before mtB_begin.
+** Without it the body is sent in chunked encoding.
+*/
+void mtB_set_length (mt_webreq_t *r, size_t n);
 
-/* An answer in parts. */
+/* A streamed reply: head, any number of writes, end. */
 void mtB_begin (mt_webreq_t *r, int status, const mt_header_t *h, size_t n);
 void mtB_write (mt_webreq_t *r, const char *p, size_t n);
 void mtB_end (mt_webreq_t *r);
-/* Cuts the connection, so that the caller sees that the answer is not whole.
- */
+/* Closes the connection, so that the caller sees an incomplete reply. */
 void mtB_abort (mt_webreq_t *r);
 /* Bytes written and not yet sent. */
 size_t mtB_backlog (const mt_webreq_t *r);
--- a/standin/siengine.c
+++ b/standin/siengine.c
@@ -165,7 +165,7 @@
   mt_header_t h = {"content-type", "application/json"};
   mt_webreq_t *r = s->r;
   s->r = NULL;
-  mtB_watch(r, NULL, NULL, NULL);
+  mtB_set_callbacks(r, NULL, NULL, NULL);
   mtB_reply(r, 200, &h, 1, text, n);
   free(text);
 }
@@ -275,7 +275,7 @@
   e->prompts += (uint64_t)s->prompt;
   if (e->active >= e->slots) e->over++;
   mtV_put(&e->byid, s->id, s);
-  mtB_watch(r, s, onleft, NULL);
+  mtB_set_callbacks(r, s, onleft, NULL);
   json_decref(doc);
 }
 
@@ -297,13 +297,13 @@
   }
   if (s->r != NULL) {
     mt_webreq_t *old = s->r;
-    mtB_watch(old, NULL, NULL, NULL);
+    mtB_set_callbacks(old, NULL, NULL, NULL);
     mtB_abort(old);
   }
   s->r = r;
   s->sent = from;
   s->begun = false;
-  mtB_watch(r, s, onleft, NULL);
+  mtB_set_callbacks(r, s, onleft, NULL);
 }
 
 static void cancel (engine_t *e, mt_webreq_t *r) {
--- a/standin/siservice.c
+++ b/standin/siservice.c
@@ -33,7 +33,7 @@
 static void onlate (uv_timer_t *t) {
   late_t *l = t->data;
   if (l->r != NULL) {
-    mtB_watch(l->r, NULL, NULL, NULL);
+    mtB_set_callbacks(l->r, NULL, NULL, NULL);
     si_text(l->r, 200, "application/json", l->text);
   }
   uv_close((uv_handle_t *)t, onclosed);
@@ -76,7 +76,7 @@
            c->n);
   uv_timer_init(s->loop, &l->timer);
   l->timer.data = l;
-  mtB_watch(r, l, ongone, NULL);
+  mtB_set_callbacks(r, l, ongone, NULL);
   uv_timer_start(&l->timer, onlate, (uint64_t)si_param(r, "delay", 1), 0);
 }
 
--- a/standin/sistore.c
+++ b/standin/sistore.c
@@ -91,7 +91,7 @@
       continue;
     }
     *at = w->next;
-    mtB_watch(w->r, NULL, NULL, NULL);
+    mtB_set_callbacks(w->r, NULL, NULL, NULL);
     if (s->outage)
       mtB_abort(w->r);
     else if (newer)
@@ -111,7 +111,7 @@
   w->until = uv_now(s->loop) + (uint64_t)si_param(r, "wait", 1000);
   w->next = s->watches;
   s->watches = w;
-  mtB_watch(r, w, ongone, NULL);
+  mtB_set_callbacks(r, w, ongone, NULL);
   sweep(s);
 }
 
@@ -271,7 +271,7 @@
 static void onheld (uv_timer_t *t) {
   held_t *h = t->data;
   if (h->r != NULL) {
-    mtB_watch(h->r, NULL, NULL, NULL);
+    mtB_set_callbacks(h->r, NULL, NULL, NULL);
     serve(h->s, h->r);
   }
   uv_close((uv_handle_t *)t, onheldclosed);
@@ -284,7 +284,7 @@
   h->timer.data = h;
   uv_timer_init(s->loop, &h->timer);
   uv_timer_start(&h->timer, onheld, (uint64_t)s->slow, 0);
-  mtB_watch(r, h, onheldgone, NULL);
+  mtB_set_callbacks(r, h, onheldgone, NULL);
 }
 
 static void handle (void *ud, mt_webreq_t *r) {
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -1,4 +1,5 @@
-// fleet_test.cc - real routers, real sockets, stand-ins for the outside.
+// fleet_test.cc - router processes over sockets, with simulated engines,
+// store and service.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -24,37 +25,37 @@
   return b ? b : "build";
 }
 
-// A fleet that ends with the test.
-struct Lab {
+// Starts a fleet of processes and stops it at the end of the test.
+struct TestFleet {
   bb_lab_t *lab;
-  explicit Lab(bb_spec_t spec) : lab(bb_start(bin(), &spec)) {
+  explicit TestFleet(bb_spec_t spec) : lab(bb_start(bin(), &spec)) {
   }
-  ~Lab() {
+  ~TestFleet() {
     bb_stop(lab);
   }
-  Lab(const Lab &) = delete;
+  TestFleet(const TestFleet &) = delete;
   bb_lab_t *operator->() const {
     return lab;
   }
 
-  struct Answer {
+  struct Reply {
     int status;
     std::string text;
   };
-  Answer call (size_t router, const char *method, const std::string &path,
-               const std::string &headers, const char *body,
-               const char *key = "key-w1") {
+  Reply call (size_t router, const char *method, const std::string &path,
+              const std::string &headers, const char *body,
+              const char *key = "key-w1") {
     std::string h = std::string("Authorization: Bearer ") + key +
                     "\r\nContent-Type: application/json\r\n" + headers;
     char *text;
     int status = bb_call(lab, &lab->routers[router].callers, method,
                          path.c_str(), h.c_str(), body, &text);
-    Answer a{status, text};
+    Reply a{status, text};
     free(text);
     return a;
   }
-  Answer chat (size_t router, const std::string &content,
-               const std::string &headers = "", bool stream = false) {
+  Reply chat (size_t router, const std::string &content,
+              const std::string &headers = "", bool stream = false) {
     std::string body = "{\"model\":\"m1\",\"stream\":" +
                        std::string(stream ? "true" : "false") +
                        ",\"messages\":[{\"role\":\"user\",\"content\":\"" +
@@ -75,22 +76,24 @@
     std::ofstream(path) << text;
     return path;
   }
+  // Injects a fault into the simulated store: outage=1, lostack=COUNT.
   void store (const char *query) {
     std::string path = std::string("/switch?") + query;
     bb_call(lab, &lab->store, "POST", path.c_str(), nullptr, nullptr,
             nullptr);
   }
+  // Runs of each call at the simulated service, by name.
   json_t *calls () {
     return bb_json(lab, &lab->service, "/calls");
   }
-  int ran (const std::string &name) {
+  int run_count (const std::string &name) {
     json_t *c = calls();
     int n = (int)json_integer_value(json_object_get(c, name.c_str()));
     json_decref(c);
     return n;
   }
-  // Waits for a condition; the bound only ends a test that has failed.
-  bool until (const std::function<bool()> &cond) {
+  // Waits for a condition, for at least 30 s: only a failing test gets there.
+  bool wait_until (const std::function<bool()> &cond) {
     for (int i = 0; i < 1500; i++) {
       if (cond()) return true;
       bb_run(lab, 20);
@@ -112,15 +115,16 @@
   return s;
 }
 
-// The body of a streamed completion of so many tokens.
-std::string streamed (int tokens) {
+// The body of a streamed completion with `tokens` output tokens.
+std::string stream_request_body (int tokens) {
   return "{\"model\":\"m1\",\"stream\":true,\"messages\":[{\"role\":\"user\","
          "\"content\":\"tokens=" +
          std::to_string(tokens) + "\"}]}";
 }
 
-// A call of it to the first router, for use without waiting; `body` is kept.
-mt_callspec_t asked (Lab &f, const std::string &body, const char *headers) {
+// An asynchronous completion request to the first router; borrows `body`.
+mt_callspec_t asked (TestFleet &f, const std::string &body,
+                     const char *headers) {
   mt_callspec_t call{};
   call.addr = f->routers[0].callers;
   call.method = "POST";
@@ -131,12 +135,12 @@
   return call;
 }
 
-std::string outcome (const std::string &code) {
+std::string error_code_json (const std::string &code) {
   return "\"code\":\"" + code + "\"";
 }
 
-TEST(Fleet, BadInputIsRefusedWithACodeAndTheRouterStaysUp) {
-  Lab f(spec(1, 1, 1));
+TEST(Fleet, BadInputIsRejectedWithACodeAndTheRouterStaysUp) {
+  TestFleet f(spec(1, 1, 1));
   struct Row {
     const char *method, *path, *body, *key;
     int status;
@@ -165,16 +169,17 @@
   for (const Row &row : rows) {
     auto a = f.call(0, row.method, row.path, "", row.body, row.key);
     EXPECT_EQ(a.status, row.status) << row.path << " " << a.text;
-    EXPECT_NE(a.text.find(outcome(row.code)), std::string::npos) << a.text;
+    EXPECT_NE(a.text.find(error_code_json(row.code)), std::string::npos)
+        << a.text;
   }
   auto large = f.chat(0, std::string(MT_BODY_MAX, 'x'));
   EXPECT_EQ(large.status, 413);
-  EXPECT_NE(large.text.find(outcome("too_large")), std::string::npos);
+  EXPECT_NE(large.text.find(error_code_json("too_large")), std::string::npos);
   EXPECT_EQ(f.chat(0, "tokens=3").status, 200);
 }
 
 TEST(Fleet, PolicyIsPublishedRevisedAndWithdrawnOnEveryRouter) {
-  Lab f(spec(3, 3, 3));
+  TestFleet f(spec(3, 3, 3));
   std::string only2 =
       f.file("only2.lua", "function place(r, t) return {'e2'} end\n");
   std::string only3 =
@@ -182,7 +187,7 @@
   std::string faulty =
       f.file("faulty.lua", "function place(r, t)\n  x = =\n");
   std::string out;
-  auto servedby = [&] (size_t router) {
+  auto engines_used = [&] (size_t router) {
     std::set<std::string> names;
     std::vector<json_int_t> runs;
     for (size_t i = 0; i < f->nengines; i++) {
@@ -203,7 +208,7 @@
   EXPECT_EQ(f.cli({"policy", "publish", "default", only2.c_str()}), 0);
   ASSERT_TRUE(bb_settled(f.lab, 2, 20000));
   for (size_t r = 0; r < 3; r++)
-    EXPECT_EQ(servedby(r), std::set<std::string>{"e2"});
+    EXPECT_EQ(engines_used(r), std::set<std::string>{"e2"});
   EXPECT_EQ(f.cli({"policy", "revise", "default", faulty.c_str(),
                    "--replaces", "2"},
                   &out),
@@ -219,7 +224,7 @@
             0);
   ASSERT_TRUE(bb_settled(f.lab, 3, 20000));
   for (size_t r = 0; r < 3; r++)
-    EXPECT_EQ(servedby(r), std::set<std::string>{"e3"});
+    EXPECT_EQ(engines_used(r), std::set<std::string>{"e3"});
   EXPECT_EQ(f.cli({"policy", "withdraw", "default", "--replaces", "3"}), 0);
   ASSERT_TRUE(bb_settled(f.lab, 4, 20000));
   EXPECT_EQ(f.chat(0, "tokens=1").status, 200);
@@ -227,8 +232,8 @@
   EXPECT_EQ(out, "");
 }
 
-TEST(Fleet, TwoOperatorsRaceAndOneIsToldThatItLost) {
-  Lab f(spec(1, 1, 1));
+TEST(Fleet, OfTwoConcurrentPublishesOneIsRejected) {
+  TestFleet f(spec(1, 1, 1));
   std::string a = f.file("a.lua", "function order(r) return 1 end\n");
   std::string b = f.file("b.lua", "function order(r) return 2 end\n");
   std::string script =
@@ -246,14 +251,14 @@
                 read("c1") + read("c2") == "1\n0\n",
             true)
       << read("o1") << read("o2");
-  std::string loser = read("c1") == "1\n" ? read("o1") : read("o2");
-  EXPECT_TRUE(loser.find("came first") != std::string::npos ||
-              loser.find("published already") != std::string::npos)
-      << loser;
+  std::string rejected = read("c1") == "1\n" ? read("o1") : read("o2");
+  EXPECT_TRUE(rejected.find("came first") != std::string::npos ||
+              rejected.find("published already") != std::string::npos)
+      << rejected;
 }
 
-TEST(Fleet, AWriteWhoseAcknowledgementIsLostTakesEffectOnce) {
-  Lab f(spec(1, 1, 1));
+TEST(Fleet, WriteWithLostAcknowledgementTakesEffectOnce) {
+  TestFleet f(spec(1, 1, 1));
   std::string a = f.file("a.lua", "function order(r) return 1 end\n"), out;
   f.store("lostack=3");
   EXPECT_EQ(f.cli({"policy", "publish", "x", a.c_str()}, &out), 0) << out;
@@ -265,8 +270,8 @@
   EXPECT_NE(out.find("nothing to change"), std::string::npos) << out;
 }
 
-TEST(Fleet, ARouterStartsWhileTheStoreIsAwayFromWhatItsPeersKnow) {
-  Lab f(spec(3, 3, 3));
+TEST(Fleet, RouterLoadsConfigurationFromPeersDuringStoreOutage) {
+  TestFleet f(spec(3, 3, 3));
   f.store("outage=1");
   bb_end(f->routers[1].proc, SIGKILL);
   bb_router(f.lab, 1);
@@ -274,8 +279,8 @@
   EXPECT_EQ(f.chat(1, "tokens=2").status, 200);
 }
 
-TEST(Fleet, ANotRepeatableCallRunsOnceWhereverItIsRepeated) {
-  Lab f(spec(3, 3, 3));
+TEST(Fleet, NonRepeatableCallRunsOnceAcrossRouters) {
+  TestFleet f(spec(3, 3, 3));
   std::string once = "X-Not-Repeatable: 1\r\nIdempotency-Key: k1\r\n";
   EXPECT_EQ(
       f.call(0, "POST", "/services/portal/pay?call=a", once, "x").status,
@@ -283,28 +288,30 @@
   for (size_t r = 0; r < 3; r++) {
     auto a = f.call(r, "POST", "/services/portal/pay?call=a", once, "x");
     EXPECT_EQ(a.status, 409) << a.text;
-    EXPECT_NE(a.text.find(outcome("already_claimed")), std::string::npos);
+    EXPECT_NE(a.text.find(error_code_json("already_claimed")),
+              std::string::npos);
   }
-  EXPECT_EQ(f.ran("a"), 1);
+  EXPECT_EQ(f.run_count("a"), 1);
   f.store("lostack=1");
   std::string two = "X-Not-Repeatable: 1\r\nIdempotency-Key: k2\r\n";
   EXPECT_EQ(f.call(1, "POST", "/services/portal/pay?call=b", two, "x").status,
             200)
-      << "a lost acknowledgement is resolved";
-  EXPECT_EQ(f.ran("b"), 1);
+      << "the claim is read back after a lost acknowledgement";
+  EXPECT_EQ(f.run_count("b"), 1);
   f.store("outage=1");
   std::string three = "X-Not-Repeatable: 1\r\nIdempotency-Key: k3\r\n";
   auto a = f.call(2, "POST", "/services/portal/pay?call=c", three, "x");
   EXPECT_EQ(a.status, 503);
-  EXPECT_NE(a.text.find(outcome("claim_store_unreachable")),
+  EXPECT_NE(a.text.find(error_code_json("claim_store_unreachable")),
             std::string::npos);
-  EXPECT_EQ(f.ran("c"), 0);
+  EXPECT_EQ(f.run_count("c"), 0);
 }
 
-TEST(Fleet, AStreamIsTakenUpAtAnotherRouterWithItsTokenOnly) {
-  Lab f(spec(2, 2, 2));
-  // The token is in a header: ask with a raw connection and leave half-way.
-  std::string body = streamed(120);
+TEST(Fleet, StreamResumesAtAnotherRouterOnlyWithItsToken) {
+  TestFleet f(spec(2, 2, 2));
+  // The resume token is in a reply header, which only a raw connection shows.
+  // The first router is killed in the middle of the stream.
+  std::string body = stream_request_body(120);
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in a{};
   a.sin_family = AF_INET;
@@ -352,16 +359,17 @@
             403);
 }
 
-// An engine may break off between two chunks, in the ordinary way.
-TEST(Fleet, AStreamThatItsEngineCutsOffIsNotPassedOnAsWhole) {
-  Lab f(spec(1, 1, 1));
+// An engine may close its connection regularly between two chunks. The router
+// must not take the stream, which lacks [DONE], for a complete one.
+TEST(Fleet, TruncatedEngineStreamIsNotReportedAsComplete) {
+  TestFleet f(spec(1, 1, 1));
   bb_load_t *L = bb_load(f.lab, 1);
   bb_flow_t flow{};
   flow.workspace = 1;
   flow.concurrency = 4;
   flow.shorttokens = 400;
   bb_flow(L, &flow);
-  ASSERT_TRUE(f.until([&] { return bb_seen(L, 0)->tokens > 40; }));
+  ASSERT_TRUE(f.wait_until([&] { return bb_seen(L, 0)->tokens > 40; }));
   bb_stopflow(L, -1);
   bb_end(f->engines[0].proc, SIGKILL);
   ASSERT_TRUE(bb_idle(L, 30000));
@@ -371,21 +379,22 @@
   bb_endload(L);
 }
 
-// A caller that leaves ends its work at the engine, running or waiting.
-TEST(Fleet, ACallerThatLeavesCancelsItsWork) {
-  Lab f(spec(1, 1, 1));
+// A caller that disconnects cancels its request, whether it is running at the
+// engine or waiting at the router.
+TEST(Fleet, CallerDisconnectCancelsItsWork) {
+  TestFleet f(spec(1, 1, 1));
   auto ignore = [] (void *, mt_call_t *, const mt_callev_t *) {};
-  std::string body = streamed(90000);
+  std::string body = stream_request_body(90000);
   mt_callspec_t call = asked(f, body, "Authorization: Bearer key-w1\r\n");
   std::vector<mt_call_t *> calls;
   for (int i = 0; i < 6; i++) // four run, two wait
     calls.push_back(mtY_call(f->http, &call, ignore, nullptr));
-  ASSERT_TRUE(f.until([&] {
+  ASSERT_TRUE(f.wait_until([&] {
     return bb_metric(f.lab, 0, "requests_running") == 4 &&
            bb_metric(f.lab, 0, "requests_waiting") == 2;
   }));
   for (mt_call_t *c : calls) mtY_cancel(c);
-  EXPECT_TRUE(f.until([&] {
+  EXPECT_TRUE(f.wait_until([&] {
     json_t *s = bb_json(f.lab, &f->engines[0].addr, "/stats");
     json_int_t active = json_integer_value(json_object_get(s, "active"));
     json_decref(s);
@@ -394,42 +403,43 @@
   EXPECT_EQ(bb_metric(f.lab, 0, "refusals_total{reason=\"caller_left\"}"), 6);
 }
 
-// Callers with the same key at one router share one run and its whole answer.
+// Requests with the same key at one router share one run and get its complete
+// reply, also one that joins mid-stream.
 TEST(Fleet, RepeatableCallsWithOneKeyShareOneRun) {
-  Lab f(spec(1, 1, 1));
-  struct Got {
+  TestFleet f(spec(1, 1, 1));
+  struct Received {
     std::string text;
     bool done = false;
   } got[3];
   auto onevent = [] (void *ud, mt_call_t *, const mt_callev_t *ev) {
-    Got *g = (Got *)ud;
+    Received *g = (Received *)ud;
     if (ev->kind == MT_CALL_BODY) g->text.append(ev->data.p, ev->data.n);
     g->done |= ev->kind == MT_CALL_END;
   };
-  std::string body = streamed(80);
+  std::string body = stream_request_body(80);
   mt_callspec_t call = asked(
       f, body, "Authorization: Bearer key-w1\r\nIdempotency-Key: k\r\n");
   mtY_call(f->http, &call, onevent, &got[0]);
   mtY_call(f->http, &call, onevent, &got[1]);
-  ASSERT_TRUE(f.until([&] { return got[0].text.size() > 2000; }));
-  mtY_call(f->http, &call, onevent, &got[2]); // joins half-way
-  ASSERT_TRUE(
-      f.until([&] { return got[0].done && got[1].done && got[2].done; }));
+  ASSERT_TRUE(f.wait_until([&] { return got[0].text.size() > 2000; }));
+  mtY_call(f->http, &call, onevent, &got[2]); // joins mid-stream
+  ASSERT_TRUE(f.wait_until(
+      [&] { return got[0].done && got[1].done && got[2].done; }));
   EXPECT_NE(got[0].text.find("[DONE]"), std::string::npos);
   EXPECT_EQ(got[0].text, got[1].text);
   EXPECT_EQ(got[0].text, got[2].text);
   EXPECT_EQ(bb_metric(f.lab, 0, "attempts_total"), 1);
 }
 
-TEST(Fleet, APlannedStopCutsNothingOff) {
-  Lab f(spec(2, 1, 1));
+TEST(Fleet, DrainCompletesAllRequests) {
+  TestFleet f(spec(2, 1, 1));
   bb_load_t *L = bb_load(f.lab, 1);
   bb_flow_t flow{};
   flow.workspace = 1;
   flow.concurrency = 8;
   flow.shorttokens = 150;
   bb_flow(L, &flow);
-  ASSERT_TRUE(f.until([&] {
+  ASSERT_TRUE(f.wait_until([&] {
     return bb_metric(f.lab, 0, "requests_waiting") +
                bb_metric(f.lab, 0, "requests_running") ==
            8;
@@ -443,15 +453,15 @@
   bb_endload(L);
 }
 
-TEST(Fleet, AForgedPeerIsRefusedAndCounted) {
-  Lab f(spec(1, 1, 1));
-  // A frame: length, code, message; with a wrong code, and one too long.
+TEST(Fleet, ForgedPeerFramesAreRejectedAndCounted) {
+  TestFleet f(spec(1, 1, 1));
+  // A frame is length, MAC, message.
   struct Row {
     const char *name;
     std::string bytes;
     const char *counter;
   } rows[] = {
-      {"wrong code", std::string("\0\0\0\x14", 4) + std::string(20, 'x'),
+      {"wrong MAC", std::string("\0\0\0\x14", 4) + std::string(20, 'x'),
        "peer_frames_forged_total"},
       {"too short", std::string("\0\0\0\x02xx", 6),
        "peer_frames_forged_total"},
@@ -477,26 +487,26 @@
   }
 }
 
-TEST(Fleet, ACutDomainServesItselfAndComesBack) {
-  Lab f(spec(2, 2, 2, true));
-  auto cut = [&] (const char *mode) {
+TEST(Fleet, PartitionedDomainServesItsRequestsAndRejoins) {
+  TestFleet f(spec(2, 2, 2, true));
+  auto set_links = [&] (const char *mode) {
     bb_setlink(f.lab, bb_linkport(f.lab, 0, "r2"), mode, 0);
     bb_setlink(f.lab, bb_linkport(f.lab, 1, "r1"), mode, 0);
     bb_setlink(f.lab, bb_linkport(f.lab, 0, "e2"), mode, 0);
     bb_setlink(f.lab, bb_linkport(f.lab, 1, "e1"), mode, 0);
     bb_setlink(f.lab, bb_linkport(f.lab, 1, "store"), mode, 0);
   };
-  cut("cut");
+  set_links("cut");
   for (int k = 0; k < 6; k++) {
     EXPECT_EQ(f.chat(0, "tokens=2").status, 200);
     EXPECT_EQ(f.chat(1, "tokens=2").status, 200);
   }
   std::string a = f.file("a.lua", "function order(r) return 1 end\n");
   EXPECT_EQ(f.cli({"policy", "publish", "x", a.c_str()}), 0);
-  EXPECT_TRUE(
-      f.until([&] { return bb_metric(f.lab, 0, "config_revision") == 2; }));
+  EXPECT_TRUE(f.wait_until(
+      [&] { return bb_metric(f.lab, 0, "config_revision") == 2; }));
   EXPECT_EQ(bb_metric(f.lab, 1, "config_revision"), 1);
-  cut("pass");
+  set_links("pass");
   EXPECT_TRUE(bb_settled(f.lab, 2, 30000));
 }
 
