--- a/src/gateway/feed_exchange.c
+++ b/src/gateway/feed_exchange.c
@@ -28,7 +28,7 @@
   for (int i = 0; i < MT_FEEDS; i++) {
     const mt_feed_state_t *feed = &x->feeds[i].state;
     if (feed->confirmed == 0) continue;
-    m->feeds[i] = (mt_peer_feed_t){feed->newest, feed->at, feed->told,
+    m->feeds[i] = (mt_peer_feed_t){feed->newest, feed->at, feed->received,
                                    x->members->now - feed->confirmed};
   }
 }
@@ -47,7 +47,7 @@
   for (int i = 0; i < MT_FEEDS; i++) {
     const mt_peer_feed_t *known = &m->feeds[i];
     if (known->at == 0 || known->age > now) continue;
-    peer->told[i] = known->told;
+    peer->received[i] = known->received;
     mt_feed_state_merge(&x->feeds[i].state, known->newest, known->at,
                         now - known->age);
     update_behind_since(&x->feeds[i], now - known->age);
@@ -176,8 +176,9 @@
 ** only fill the log. Withdrawals are kept for routers that missed them.
 */
 static bool should_keep (const mt_feed_t *feed, const mt_change_t *change) {
-  if (feed->state.told == 0) return change->kind != MT_CHANGE_ENGINE_READY;
-  return change->rev > feed->state.told;
+  if (feed->state.received == 0)
+    return change->kind != MT_CHANGE_ENGINE_READY;
+  return change->rev > feed->state.received;
 }
 
 bool mt_feed_exchange_add_change (mt_feed_exchange_t *x,
@@ -268,7 +269,7 @@
   for (size_t i = 0; i < m->changes_count; i++) {
     const mt_change_t *change = &m->changes[i];
     if (mt_change_feed(change->kind) != kind) continue;
-    if (change->rev <= feed->state.told) continue;
+    if (change->rev <= feed->state.received) continue;
     mt_change_result_t result = mt_change_log_add(&feed->log, change, now);
     mt_change_log_entry_t *entry = mt_change_log_find(&feed->log, change);
     mt_ms_t since = change->age < now ? now - change->age : 1;
@@ -334,8 +335,8 @@
   mt_peer_message_t *m = x->callbacks.begin(x->callbacks.ud, MT_PEER_CHANGES);
   bool has_changes = false;
   for (int i = 0; i < MT_FEEDS; i++) {
-    mt_revision_t ours = x->feeds[i].state.told,
-                  theirs = request->feeds[i].told;
+    mt_revision_t ours = x->feeds[i].state.received,
+                  theirs = request->feeds[i].received;
     if (theirs == 0 || theirs >= ours) continue;
     pack_since(x, m, (mt_feed_kind_t)i, theirs, ours);
     has_changes = true;
@@ -350,7 +351,7 @@
                                   const mt_peer_t *peer) {
   const mt_feed_t *feed = &x->feeds[kind];
   uint64_t order = mtV_mix(peer->ip, feed->requests) >> 2;
-  bool more = peer->told[kind] > feed->state.told;
+  bool more = peer->received[kind] > feed->state.received;
   bool local = mt_membership_is_local(x->members, peer);
   return (uint64_t)more << 63 | (uint64_t)local << 62 | order;
 }
@@ -376,7 +377,7 @@
 */
 static void request_changes (mt_feed_exchange_t *x, mt_feed_kind_t kind) {
   mt_feed_t *feed = &x->feeds[kind];
-  const mt_peer_span_t span = {feed->state.told, feed->state.newest};
+  const mt_peer_span_t span = {feed->state.received, feed->state.newest};
   const mt_peer_t *peer = choose_peer(x, kind);
   if (peer == NULL) return;
   mt_ms_t longer =
--- a/src/gateway/feed_state.c
+++ b/src/gateway/feed_state.c
@@ -19,20 +19,20 @@
   feed->newest = mt_max(feed->newest, newest);
   feed->at = mt_max(feed->at, at);
   feed->confirmed = mt_max(feed->confirmed, confirmed);
-  advance_to_source(&feed->told, feed);
-  advance_to_source(&feed->taken, feed);
+  advance_to_source(&feed->received, feed);
+  advance_to_source(&feed->applied, feed);
   return changed;
 }
 
 mt_feed_update_t mt_feed_state_read (mt_feed_state_t *feed,
                                      mt_revision_t newest, mt_revision_t at,
                                      mt_ms_t now, bool unannounced) {
-  /* Where `newest` is less than `told`, no change lies between them. */
-  mt_revision_t last = feed->newest > 0 ? feed->newest : feed->told;
-  mt_revision_t base = mt_min(feed->told, last);
-  bool first = feed->told == 0, changed = newest > feed->newest;
-  feed->taken = mt_max(feed->taken, at);
-  feed->told = mt_max(feed->told, at);
+  /* Where `newest` is less than `received`, no change lies between them. */
+  mt_revision_t last = feed->newest > 0 ? feed->newest : feed->received;
+  mt_revision_t base = mt_min(feed->received, last);
+  bool first = feed->received == 0, changed = newest > feed->newest;
+  feed->applied = mt_max(feed->applied, at);
+  feed->received = mt_max(feed->received, at);
   if (now != 0) mt_feed_state_merge(feed, newest, at, now);
   if (first || newest <= base) return (mt_feed_update_t){.due = false};
   bool due = unannounced || (now != 0 && changed);
@@ -54,17 +54,18 @@
 mt_feed_outcome_t mt_feed_state_classify (const mt_feed_state_t *feed,
                                           mt_revision_t base,
                                           mt_revision_t reach) {
-  if (feed->told >= reach) return MT_FEED_KNOWN;
-  return base > 0 && feed->told >= base ? MT_FEED_APPLIED : MT_FEED_GAP;
+  if (feed->received >= reach) return MT_FEED_KNOWN;
+  return base > 0 && feed->received >= base ? MT_FEED_APPLIED : MT_FEED_GAP;
 }
 
 void mt_feed_state_apply (mt_feed_state_t *feed, mt_revision_t base,
                           mt_revision_t reach, bool all) {
-  if (all && feed->taken >= base) feed->taken = mt_max(feed->taken, reach);
-  feed->told = mt_max(feed->told, reach);
+  if (all && feed->applied >= base)
+    feed->applied = mt_max(feed->applied, reach);
+  feed->received = mt_max(feed->received, reach);
   feed->newest = mt_max(feed->newest, reach);
 }
 
 bool mt_feed_state_is_behind (const mt_feed_state_t *feed) {
-  return feed->told > 0 && feed->newest > feed->told;
+  return feed->received > 0 && feed->newest > feed->received;
 }
--- a/src/gateway/feed_state.h
+++ b/src/gateway/feed_state.h
@@ -21,10 +21,10 @@
 typedef struct mt_feed_state_t {
   mt_revision_t newest; /* last change of the feed that any router knows of */
   mt_revision_t at;     /* source's revision when that was the last change */
-  mt_revision_t taken;  /* all changes up to this one are applied here */
-  mt_revision_t told;   /* likewise, except for details (of new engines, say)
-                           that can only be read from the source */
-  mt_ms_t confirmed;    /* when a router last read this at the source, or 0 */
+  mt_revision_t applied;  /* all changes up to this one are applied here */
+  mt_revision_t received; /* likewise, except for details (of new engines,
+                         say) that can only be read from the source */
+  mt_ms_t confirmed; /* when a router last read this at the source, or 0 */
 } mt_feed_state_t;
 
 /*
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -34,7 +34,8 @@
 
 /* Tokens of the prompt's last segment, which no other request shares. */
 static int64_t unshared_tokens (const mt_relay_request_t *r) {
-  return r->parts_count > 0 ? r->parts[r->parts_count - 1].tokens : 0;
+  return r->segments_count > 0 ? r->segments[r->segments_count - 1].tokens
+                               : 0;
 }
 
 void mt_gateway_log_request (mt_log_writer_t *log, const mt_relay_t *relay,
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -69,8 +69,8 @@
       "newest=%s outcome=%s",
       text, names[kind], mt_revision_text(span->base, base),
       mt_revision_text(span->reach, reach), changes,
-      mt_revision_text(feed->told, received),
-      mt_revision_text(feed->taken, applied),
+      mt_revision_text(feed->received, received),
+      mt_revision_text(feed->applied, applied),
       mt_revision_text(feed->newest, newest), mt_feed_outcome_name(outcome));
 }
 
@@ -207,7 +207,7 @@
 mt_peer_feed_t mt_gateway_peers_feed (const mt_gateway_peers_t *peers,
                                       mt_feed_kind_t kind) {
   const mt_feed_state_t *feed = &peers->feeds.feeds[kind].state;
-  mt_peer_feed_t known = {feed->newest, feed->at, feed->told, UINT32_MAX};
+  mt_peer_feed_t known = {feed->newest, feed->at, feed->received, UINT32_MAX};
   if (feed->confirmed != 0)
     known.age = mt_boot_clock_now(peers->loop) - feed->confirmed;
   return known;
@@ -247,12 +247,12 @@
 
 mt_revision_t mt_gateway_peers_applied_rev (const mt_gateway_peers_t *peers,
                                             mt_feed_kind_t kind) {
-  return peers->feeds.feeds[kind].state.taken;
+  return peers->feeds.feeds[kind].state.applied;
 }
 
 mt_revision_t mt_gateway_peers_received_rev (const mt_gateway_peers_t *peers,
                                              mt_feed_kind_t kind) {
-  return peers->feeds.feeds[kind].state.told;
+  return peers->feeds.feeds[kind].state.received;
 }
 
 static bool apply_change (void *ud, const mt_change_t *change,
@@ -301,7 +301,7 @@
   m->engines[m->engines_count++] = (mt_peer_engine_t){
       .key = e->key, .load = e->local, .tokens = e->tokens_processed};
   e->load_dirty = false;
-  e->told = mt_boot_clock_now(peers->loop);
+  e->reported_at = mt_boot_clock_now(peers->loop);
 }
 
 /* Reports to the owner of a segment's home engine that the segment was
@@ -312,7 +312,7 @@
       mt_engines_get(&peers->relay->engines, r->home_global);
   if (home == NULL || !mt_kv_cache_should_report(r)) return;
   uint32_t owner = owner_of(peers, home);
-  uint64_t segment = mt_kv_cache_home_segment(r->parts, r->parts_count);
+  uint64_t segment = mt_kv_cache_home_segment(r->segments, r->segments_count);
   if (owner == peers->members.own_ip) {
     mt_prefix_holders_set(&peers->relay->holders, segment, r->engine->key,
                           mt_boot_clock_now(peers->loop));
@@ -320,13 +320,13 @@
   }
   mt_peer_message_t *m = begin(peers, MT_PEER_PREFIX_HOLDER);
   m->engines[m->engines_count++] = (mt_peer_engine_t){.key = r->engine->key};
-  m->parts[m->parts_count++] = (mt_prefix_segment_t){.id = segment};
+  m->segments[m->segments_count++] = (mt_prefix_segment_t){.id = segment};
   send_message(peers, owner);
 }
 
 static void on_holds (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
-  if (m->engines_count == 0 || m->parts_count == 0) return;
-  mt_prefix_holders_set(&peers->relay->holders, m->parts[0].id,
+  if (m->engines_count == 0 || m->segments_count == 0) return;
+  mt_prefix_holders_set(&peers->relay->holders, m->segments[0].id,
                         m->engines[0].key, mt_boot_clock_now(peers->loop));
 }
 
@@ -344,8 +344,8 @@
   m->request_number = r->number;
   add_load(peers, m, r->engine);
   if (r->has_permit) m->engines[0].admission = MT_ADMIT_PERMIT;
-  m->parts_count = r->parts_count;
-  memcpy(m->parts, r->parts, r->parts_count * sizeof *r->parts);
+  m->segments_count = r->segments_count;
+  memcpy(m->segments, r->segments, r->segments_count * sizeof *r->segments);
   send_message(peers, owner);
 }
 
@@ -385,8 +385,9 @@
   mt_peer_t *peer = mt_membership_add(&peers->members, owner);
   if (peer == NULL || peers->out.engines_count == 0) return;
   peers->out.request_number = r->number;
-  peers->out.parts_count = r->parts_count;
-  memcpy(peers->out.parts, r->parts, r->parts_count * sizeof *r->parts);
+  peers->out.segments_count = r->segments_count;
+  memcpy(peers->out.segments, r->segments,
+         r->segments_count * sizeof *r->segments);
   if (peer->asked == 0) peer->asked = mt_boot_clock_now(peers->loop);
   send_message(peers, owner);
 }
@@ -402,7 +403,7 @@
     owners[i] = e ? owner_of(peers, e) : 0;
     if (owners[i] != peers->members.own_ip) continue;
     own[own_count] =
-        mt_relay_quote(peers->relay, key, 0, r->parts, r->parts_count);
+        mt_relay_quote(peers->relay, key, 0, r->segments, r->segments_count);
     own[own_count++].admission =
         mt_relay_admission(peers->relay, key, owns(peers, key));
   }
@@ -429,8 +430,8 @@
   m->request_number = ask->request_number;
   for (size_t i = 0; i < ask->engines_count; i++) {
     uint64_t key = ask->engines[i].key;
-    mt_relay_quote_t quote =
-        mt_relay_quote(peers->relay, key, ip, ask->parts, ask->parts_count);
+    mt_relay_quote_t quote = mt_relay_quote(
+        peers->relay, key, ip, ask->segments, ask->segments_count);
     m->engines[m->engines_count++] = (mt_peer_engine_t){
         quote.engine, quote.peers, quote.cached, quote.holder,
         mt_relay_admission(peers->relay, key, owns(peers, key))};
@@ -461,8 +462,8 @@
                          .load = e->load,
                          .tokens_processed = e->tokens,
                          .valid_until = now + LOAD_VALID_MS};
-    mt_relay_update_peer_load(peers->relay, e->key, &row, m->parts,
-                              m->parts_count);
+    mt_relay_update_peer_load(peers->relay, e->key, &row, m->segments,
+                              m->segments_count);
     if (m->request_number != 0 && e->admission != MT_ADMIT_PERMIT)
       mt_cold_starts_charge(&peers->relay->cold, e->key);
   }
--- a/src/gateway/load_reporter.c
+++ b/src/gateway/load_reporter.c
@@ -9,7 +9,7 @@
 
 static bool is_due (const mt_engine_t *e, mt_ms_t now) {
   if (e->load_dirty) return true;
-  return e->local.running > 0 && now - e->told >= REPORT_INTERVAL_MS;
+  return e->local.running > 0 && now - e->reported_at >= REPORT_INTERVAL_MS;
 }
 
 static int compare_owners (const void *a, const void *b) {
--- a/src/gateway/load_reporter.h
+++ b/src/gateway/load_reporter.h
@@ -2,7 +2,7 @@
 ** load_reporter.h - reports this router's loads to the owners of the engines
 **
 ** Each engine is owned by one router (membership.h), which sums up the loads
-** that all routers have there (load_book.h).
+** that all routers have there (load_table.h).
 */
 #ifndef load_reporter_h
 #define load_reporter_h
--- a/src/gateway/membership.h
+++ b/src/gateway/membership.h
@@ -32,7 +32,8 @@
   uint64_t synced_boot;     /* its process that was last sent known drains,
                                suspects and members */
   mt_ms_t synced_at;
-  mt_revision_t told[MT_FEEDS]; /* by feed: it knows all changes up to here */
+  mt_revision_t
+      received[MT_FEEDS]; /* by feed: it knows all changes up to here */
   mt_ms_t asked; /* when its oldest unanswered question was sent; 0: none */
   mt_ms_t suspect_until;                 /* owns no engine until then */
   mt_ms_t shares_received, shares_valid; /* when they came, for how long */
--- a/src/gateway/peer_message.c
+++ b/src/gateway/peer_message.c
@@ -24,7 +24,7 @@
 #define SHARE_FIELDS 3
 #define ENGINE_FIELDS 7
 #define DRAIN_FIELDS 3
-#define PART_FIELDS 2
+#define SEGMENT_FIELDS 2
 #define CHANGE_FIELDS 5
 #define CHANGE_ENGINE_FIELDS 7
 #define CHANGE_ROUTE_FIELDS 2
@@ -75,7 +75,7 @@
     m->spans[i] = (mt_peer_span_t){0};
   }
   m->members_count = m->shares_count = 0;
-  m->engines_count = m->parts_count = m->changes_count = 0;
+  m->engines_count = m->segments_count = m->changes_count = 0;
   m->suspects_count = m->drains_count = 0;
   m->suspect_message =
       (mt_suspect_message_t){.kind = MT_SUSPECT_MESSAGE_COUNT};
@@ -131,10 +131,10 @@
 }
 
 static void pack_parts (const mt_peer_message_t *m, msgpack_packer *pk) {
-  msgpack_pack_array(pk, m->parts_count * PART_FIELDS);
-  for (size_t i = 0; i < m->parts_count; i++) {
-    msgpack_pack_uint64(pk, m->parts[i].id);
-    msgpack_pack_uint64(pk, to_unsigned((double)m->parts[i].tokens));
+  msgpack_pack_array(pk, m->segments_count * SEGMENT_FIELDS);
+  for (size_t i = 0; i < m->segments_count; i++) {
+    msgpack_pack_uint64(pk, m->segments[i].id);
+    msgpack_pack_uint64(pk, to_unsigned((double)m->segments[i].tokens));
   }
 }
 
@@ -185,7 +185,7 @@
   for (int i = 0; i < MT_FEEDS; i++) {
     const mt_peer_feed_t *feed = &m->feeds[i];
     last = mt_max(last, mt_max(feed->newest, feed->at));
-    last = mt_max(last, mt_max(feed->told, m->spans[i].reach));
+    last = mt_max(last, mt_max(feed->received, m->spans[i].reach));
     last = mt_max(last, m->spans[i].base);
   }
   for (size_t i = 0; i < m->changes_count; i++)
@@ -269,7 +269,7 @@
     uint64_t *span = &fields[SPANS_OFFSET + i * SPAN_FIELDS];
     feed[0] = encode_revision(era, m->feeds[i].newest);
     feed[1] = encode_revision(era, m->feeds[i].at);
-    feed[2] = encode_revision(era, m->feeds[i].told);
+    feed[2] = encode_revision(era, m->feeds[i].received);
     feed[3] = m->feeds[i].age;
     span[0] = encode_revision(era, m->spans[i].base);
     span[1] = encode_revision(era, m->spans[i].reach);
@@ -385,11 +385,11 @@
 }
 
 static void unpack_parts (mt_peer_message_t *m, const msgpack_object *o) {
-  m->parts_count = count_rows(o, PART_FIELDS, MT_PEER_PARTS_MAX);
-  for (size_t i = 0; i < m->parts_count; i++) {
-    const msgpack_object *at = &o->via.array.ptr[i * PART_FIELDS];
-    m->parts[i] = (mt_prefix_segment_t){unpack_number(&at[0]) | 1,
-                                        unpack_bounded(&at[1], TOKENS_MAX)};
+  m->segments_count = count_rows(o, SEGMENT_FIELDS, MT_PEER_SEGMENTS_MAX);
+  for (size_t i = 0; i < m->segments_count; i++) {
+    const msgpack_object *at = &o->via.array.ptr[i * SEGMENT_FIELDS];
+    m->segments[i] = (mt_prefix_segment_t){
+        unpack_number(&at[0]) | 1, unpack_bounded(&at[1], TOKENS_MAX)};
   }
 }
 
@@ -506,7 +506,7 @@
     const msgpack_object *span = &at[SPANS_OFFSET + i * SPAN_FIELDS];
     m->feeds[i].newest = decode_revision(&feed[0], era);
     m->feeds[i].at = decode_revision(&feed[1], era);
-    m->feeds[i].told = decode_revision(&feed[2], era);
+    m->feeds[i].received = decode_revision(&feed[2], era);
     m->feeds[i].age = (mt_ms_t)unpack_bounded(&feed[3], DURATION_MAX_MS);
     m->spans[i].base = decode_revision(&span[0], era);
     m->spans[i].reach = decode_revision(&span[1], era);
--- a/src/gateway/peer_message.h
+++ b/src/gateway/peer_message.h
@@ -18,7 +18,7 @@
 #define MT_PEER_MEMBERS_MAX 512
 #define MT_PEER_SHARES_MAX 700
 #define MT_PEER_ENGINES_MAX 64
-#define MT_PEER_PARTS_MAX 16
+#define MT_PEER_SEGMENTS_MAX 16
 #define MT_PEER_CHANGES_MAX 256
 #define MT_PEER_SUSPECTS_MAX 64
 #define MT_PEER_DRAINS_MAX 64
@@ -98,10 +98,10 @@
 /*
 ** What a router knows of a feed: at the source's revision `at`, read `age` ms
 ** ago, the feed's last change was `newest`. The sender has received all
-** changes up to `told`.
+** changes up to `received`.
 */
 typedef struct mt_peer_feed_t {
-  mt_revision_t newest, at, told;
+  mt_revision_t newest, at, received;
   mt_ms_t age;
 } mt_peer_feed_t;
 
@@ -131,8 +131,8 @@
   size_t shares_count;
   mt_peer_engine_t engines[MT_PEER_ENGINES_MAX];
   size_t engines_count;
-  mt_prefix_segment_t parts[MT_PEER_PARTS_MAX];
-  size_t parts_count;
+  mt_prefix_segment_t segments[MT_PEER_SEGMENTS_MAX];
+  size_t segments_count;
   /* CHANGES: the span of each feed. The changes of both feeds are in one
      list, with ascending revisions within each feed. */
   mt_peer_span_t spans[MT_FEEDS];
--- a/src/relay/candidates.c
+++ b/src/relay/candidates.c
@@ -79,7 +79,7 @@
 */
 static void find_homes (const mt_relay_t *relay, const mt_relay_request_t *r,
                         uint64_t except, home_t *global, home_t *local) {
-  uint64_t part = mt_kv_cache_home_segment(r->parts, r->parts_count);
+  uint64_t part = mt_kv_cache_home_segment(r->segments, r->segments_count);
   *global = *local = (home_t){NULL, 0};
   if (part == 0 || relay->params.off[MT_RELAY_HOME]) return;
   for (size_t i = 0; i < relay->engines.count; i++) {
@@ -168,7 +168,7 @@
    without segments any engine there. */
 static const mt_engine_t *next_remote_home (mt_relay_t *relay,
                                             const mt_relay_request_t *r) {
-  uint64_t part = mt_kv_cache_home_segment(r->parts, r->parts_count);
+  uint64_t part = mt_kv_cache_home_segment(r->segments, r->segments_count);
   const mt_domain_load_t *load = next_domain(relay, r);
   home_t home = {NULL, 0};
   if (part == 0) part = r->number;
--- a/src/relay/domain_load.c
+++ b/src/relay/domain_load.c
@@ -25,8 +25,8 @@
                             const mt_engine_load_t *quoted) {
   mt_domain_load_t *load = mt_domain_loads_get(relay, e);
   double pending_prefill = (double)quoted->pending_prefill;
-  if (load->told == 0) load->pending_prefill = pending_prefill;
+  if (load->quoted_at == 0) load->pending_prefill = pending_prefill;
   load->pending_prefill +=
       (pending_prefill - load->pending_prefill) * SAMPLE_WEIGHT;
-  load->told = relay->now;
+  load->quoted_at = relay->now;
 }
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -65,7 +65,7 @@
   mt_engine_load_t local, peers; /* of this router; of all other routers */
   mt_ms_t quoted;  /* when its owner last reported `peers`; 0: never */
   bool load_dirty; /* `local` has changed since it was sent to the owner */
-  mt_ms_t told;    /* when `local` was last sent to the owner */
+  mt_ms_t reported_at; /* when `local` was last sent to the owner */
   double slowness; /* time to first token, measured over expected; smoothed */
   int failures;    /* in a row */
   double rejection_rate;   /* of this router's attempts, as of `rate_at` */
--- a/src/relay/kv_cache.c
+++ b/src/relay/kv_cache.c
@@ -10,22 +10,22 @@
 #define BITS_PER_BYTE 8
 #define BITS_PER_MS_PER_MBPS 1000.0
 
-uint64_t mt_kv_cache_home_segment (const mt_prefix_segment_t *parts,
+uint64_t mt_kv_cache_home_segment (const mt_prefix_segment_t *segments,
                                    size_t count) {
   if (count == 0) return 0;
-  return parts[count > 1 ? count - 2 : 0].id;
+  return segments[count > 1 ? count - 2 : 0].id;
 }
 
 int64_t mt_kv_cache_shared_tokens (const mt_relay_request_t *r) {
   int64_t shared = 0;
-  for (size_t i = 0; i + 1 < r->parts_count; i++)
-    shared += r->parts[i].tokens;
+  for (size_t i = 0; i + 1 < r->segments_count; i++)
+    shared += r->segments[i].tokens;
   return shared;
 }
 
 bool mt_kv_cache_should_report (const mt_relay_request_t *r) {
-  if (r->parts_count < 2 || r->home) return false;
-  int64_t own = r->parts[r->parts_count - 1].tokens;
+  if (r->segments_count < 2 || r->home) return false;
+  int64_t own = r->segments[r->segments_count - 1].tokens;
   return r->pending_prefill >= own + TRANSFER_MIN_TOKENS;
 }
 
@@ -38,7 +38,7 @@
                                    int64_t kv_capacity) {
   const mt_relay_candidate_t *candidate = mt_quotes_find(r, e->key);
   if (candidate != NULL && candidate->quoted) return candidate->cached;
-  return mt_prefix_cache_match(&e->cached, r->parts, r->parts_count,
+  return mt_prefix_cache_match(&e->cached, r->segments, r->segments_count,
                                mt_kv_cache_available(e, kv_capacity));
 }
 
--- a/src/relay/kv_cache.h
+++ b/src/relay/kv_cache.h
@@ -19,7 +19,7 @@
 
 /* The segment that selects the home engine: the last one that other prompts
    may share, or the only one; 0: there is none. */
-uint64_t mt_kv_cache_home_segment (const mt_prefix_segment_t *parts,
+uint64_t mt_kv_cache_home_segment (const mt_prefix_segment_t *segments,
                                    size_t count);
 
 /* Tokens of the segments that other prompts may share: all but the last. */
--- a/src/relay/placement.c
+++ b/src/relay/placement.c
@@ -235,7 +235,8 @@
 bool mt_placement_may_have_room (mt_relay_t *relay,
                                  const mt_relay_request_t *r,
                                  const mt_domain_load_t *load) {
-  if (load->told == 0 || relay->now - load->told > DOMAIN_LOAD_VALID_MS)
+  if (load->quoted_at == 0 ||
+      relay->now - load->quoted_at > DOMAIN_LOAD_VALID_MS)
     return true;
   costs_t c = begin_costs(relay, r);
   if (c.service == NULL) return true;
--- a/src/relay/prefix_cache.c
+++ b/src/relay/prefix_cache.c
@@ -45,29 +45,29 @@
 }
 
 int64_t mt_prefix_cache_match (const mt_prefix_cache_t *c,
-                               const mt_prefix_segment_t *parts, size_t count,
-                               int64_t capacity) {
+                               const mt_prefix_segment_t *segments,
+                               size_t count, int64_t capacity) {
   int64_t tokens = 0;
   for (size_t i = 0; i < count; i++) {
-    const mt_prefix_entry_t *e = mtV_get(&c->entries, parts[i].id);
+    const mt_prefix_entry_t *e = mtV_get(&c->entries, segments[i].id);
     if (e == NULL || c->clock - e->used_at > capacity) break;
-    tokens += parts[i].tokens;
+    tokens += segments[i].tokens;
   }
   return tokens;
 }
 
 void mt_prefix_cache_use (mt_prefix_cache_t *c,
-                          const mt_prefix_segment_t *parts, size_t count,
+                          const mt_prefix_segment_t *segments, size_t count,
                           int64_t capacity) {
   /* The first segment is marked last, so that it is evicted last: a segment
      is useless without those before it. */
   for (size_t i = count; i-- > 0;) {
-    mt_prefix_entry_t *e = mtV_get(&c->entries, parts[i].id);
+    mt_prefix_entry_t *e = mtV_get(&c->entries, segments[i].id);
     if (e != NULL) {
       detach(c, e);
     } else {
       e = mtV_new(sizeof *e);
-      e->segment = parts[i];
+      e->segment = segments[i];
       mtV_put(&c->entries, e->segment.id, e);
     }
     e->used_at = c->clock;
--- a/src/relay/prefix_cache.h
+++ b/src/relay/prefix_cache.h
@@ -30,12 +30,12 @@
 ** for `capacity` tokens besides its running requests.
 */
 int64_t mt_prefix_cache_match (const mt_prefix_cache_t *cache,
-                               const mt_prefix_segment_t *parts, size_t count,
-                               int64_t capacity);
+                               const mt_prefix_segment_t *segments,
+                               size_t count, int64_t capacity);
 
 /* Marks the segments as used now, and drops those taken to be evicted. */
 void mt_prefix_cache_use (mt_prefix_cache_t *cache,
-                          const mt_prefix_segment_t *parts, size_t count,
+                          const mt_prefix_segment_t *segments, size_t count,
                           int64_t capacity);
 
 #endif
--- a/src/relay/quarantine.c
+++ b/src/relay/quarantine.c
@@ -163,15 +163,16 @@
 /* Sends the report of a run if it is due: at once, and again since datagrams
    may be lost. */
 static void report_if_due (mt_relay_t *relay, mt_lost_run_t *run) {
-  if (!run->ended || run->told >= REPORTS_PER_RUN || relay->now < run->next)
+  if (!run->ended || run->reports_sent >= REPORTS_PER_RUN ||
+      relay->now < run->next)
     return;
   report_end(relay, run);
   /* If the engine has restarted it may run trials again. */
-  if (run->holds_engine && run->told == 0)
+  if (run->holds_engine && run->reports_sent == 0)
     release_engine(relay, run->digest, run->engine, run->request);
-  run->next =
-      relay->now + (run->told == 0 ? 1 : 3) * (mt_ms_t)REPORT_INTERVAL_MS;
-  run->told++;
+  run->next = relay->now +
+              (run->reports_sent == 0 ? 1 : 3) * (mt_ms_t)REPORT_INTERVAL_MS;
+  run->reports_sent++;
 }
 
 void mt_quarantine_engine_ended (mt_relay_t *relay, uint64_t engine) {
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -73,8 +73,9 @@
   r->tokens_in = incoming->tokens_in;
   r->tokens_out = incoming->tokens_out;
   r->last_event = incoming->last_event;
-  r->parts_count = incoming->parts_count;
-  memcpy(r->parts, incoming->parts, incoming->parts_count * sizeof *r->parts);
+  r->segments_count = incoming->segments_count;
+  memcpy(r->segments, incoming->segments,
+         incoming->segments_count * sizeof *r->segments);
   int64_t out = incoming->tokens_hint > 0 ? incoming->tokens_hint
                                           : incoming->tokens_out;
   if (incoming->tokens_out > 0) out = mt_min(out, incoming->tokens_out);
@@ -156,7 +157,7 @@
 */
 static bool should_leave_domain (const mt_relay_request_t *r,
                                  const mt_placement_t *p) {
-  if (r->parts_count > 0 || p->engine->remote) return false;
+  if (r->segments_count > 0 || p->engine->remote) return false;
   return p->full || p->engine->failures > 0;
 }
 
@@ -226,7 +227,7 @@
   }
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
   mt_retry_budget_request(&s->budget, &relay->params.retry, relay->now);
-  if (r->workspace != 0 && r->parts_count > 0)
+  if (r->workspace != 0 && r->segments_count > 0)
     mt_fair_share_record_demand(&relay->shares, r->workspace, r->cost);
   if (r->workspace != 0)
     r->service_ratio =
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -119,7 +119,7 @@
 
 /* {== Events =========================================================== */
 
-#define MT_RELAY_PARTS_MAX 16 /* segments of a prompt */
+#define MT_RELAY_SEGMENTS_MAX 16 /* segments of a prompt */
 
 /* An incoming request as the adapter parsed it; texts are borrowed until the
    step returns. */
@@ -131,8 +131,8 @@
   /* Prompt tokens and the most completion tokens; 0: unknown. */
   int64_t tokens_in, tokens_out;
   int64_t tokens_hint; /* expected completion tokens; 0: unknown */
-  mt_prefix_segment_t parts[MT_RELAY_PARTS_MAX];
-  size_t parts_count;
+  mt_prefix_segment_t segments[MT_RELAY_SEGMENTS_MAX];
+  size_t segments_count;
 } mt_relay_incoming_t;
 
 typedef enum mt_relay_event_kind_t {
@@ -305,8 +305,8 @@
   /* From the incoming request; cost: weighted tokens that its workspace is
      charged. */
   int64_t tokens_in, tokens_out, cost, last_event;
-  mt_prefix_segment_t parts[MT_RELAY_PARTS_MAX];
-  size_t parts_count;
+  mt_prefix_segment_t segments[MT_RELAY_SEGMENTS_MAX];
+  size_t segments_count;
   /* Home engines of its shared segments (candidates.h): of the fleet, of this
      router's failure domain; 0: none. */
   uint64_t home_global, home_local;
@@ -426,7 +426,7 @@
 typedef struct mt_domain_load_t {
   mt_id_t domain, service;
   double pending_prefill; /* pending prefill of one engine, smoothed */
-  mt_ms_t told;           /* time of the last quote; 0: none */
+  mt_ms_t quoted_at;      /* time of the last quote; 0: none */
 } mt_domain_load_t;
 
 #define MT_DOMAIN_LOADS_MAX 256 /* pairs of failure domain and service */
@@ -437,7 +437,7 @@
   mt_ms_t at, next;         /* time of the failure; of the next report */
   bool alone, holds_engine; /* leases that it held */
   bool ended;               /* its engine has exited */
-  int told;                 /* reports sent to the request's owner */
+  int reports_sent;         /* reports sent to the request's owner */
 } mt_lost_run_t;
 
 typedef struct mt_lost_runs_t {
@@ -533,14 +533,14 @@
 */
 void mt_relay_update_peer_load (mt_relay_t *relay, uint64_t engine,
                                 const mt_load_row_t *row,
-                                const mt_prefix_segment_t *parts,
+                                const mt_prefix_segment_t *segments,
                                 size_t count);
 
 /* The owner's quote for `router`; 0: for this router itself. Its admission
    is left unknown. */
 mt_relay_quote_t mt_relay_quote (mt_relay_t *relay, uint64_t engine,
                                  uint64_t router,
-                                 const mt_prefix_segment_t *parts,
+                                 const mt_prefix_segment_t *segments,
                                  size_t count);
 
 /*
--- a/src/relay/relay_load.c
+++ b/src/relay/relay_load.c
@@ -83,7 +83,7 @@
   r->home = p->home;
   r->fetched = p->fetch.tokens;
   int64_t own = r->tokens_in;
-  if (r->parts_count > 0) own = r->parts[r->parts_count - 1].tokens;
+  if (r->segments_count > 0) own = r->segments[r->segments_count - 1].tokens;
   r->held = own + r->tokens_out;
   r->awaiting_event = true;
   r->work_ahead =
@@ -96,8 +96,9 @@
   e->tokens_processed += p->miss + r->tokens_out;
   e->cached.clock += p->miss + r->tokens_out;
   mt_engine_load_changed(e);
-  if (s == NULL || s->kv_capacity == 0 || r->parts_count == 0) return;
-  mt_prefix_cache_use(&e->cached, r->parts, r->parts_count, s->kv_capacity);
+  if (s == NULL || s->kv_capacity == 0 || r->segments_count == 0) return;
+  mt_prefix_cache_use(&e->cached, r->segments, r->segments_count,
+                      s->kv_capacity);
 }
 
 void mt_relay_engine_gone (mt_relay_t *relay, mt_engine_t *e) {
@@ -187,7 +188,7 @@
 
 void mt_relay_update_peer_load (mt_relay_t *relay, uint64_t engine,
                                 const mt_load_row_t *row,
-                                const mt_prefix_segment_t *parts,
+                                const mt_prefix_segment_t *segments,
                                 size_t count) {
   mt_engine_t *e = mt_engines_get(&relay->engines, engine);
   int64_t tokens_processed =
@@ -198,12 +199,12 @@
   const mt_catalog_service_t *s =
       mt_catalog_find_service(relay->catalog, e->service);
   if (s != NULL && s->kv_capacity > 0)
-    mt_prefix_cache_use(&e->cached, parts, count, s->kv_capacity);
+    mt_prefix_cache_use(&e->cached, segments, count, s->kv_capacity);
 }
 
 mt_relay_quote_t mt_relay_quote (mt_relay_t *relay, uint64_t engine,
                                  uint64_t router,
-                                 const mt_prefix_segment_t *parts,
+                                 const mt_prefix_segment_t *segments,
                                  size_t count) {
   mt_relay_quote_t quote = {.engine = engine};
   mt_engine_t *e = mt_engines_get(&relay->engines, engine);
@@ -223,9 +224,9 @@
   if (s == NULL || s->kv_capacity == 0) return quote;
   int64_t room =
       mt_max(s->kv_capacity - e->local.held - all.held, s->kv_capacity / 8);
-  quote.cached = mt_prefix_cache_match(&e->cached, parts, count, room);
+  quote.cached = mt_prefix_cache_match(&e->cached, segments, count, room);
   uint64_t holder = mt_prefix_holders_find(
-      &relay->holders, mt_kv_cache_home_segment(parts, count));
+      &relay->holders, mt_kv_cache_home_segment(segments, count));
   if (holder != engine) quote.holder = holder;
   return quote;
 }
--- a/src/relay/request.c
+++ b/src/relay/request.c
@@ -170,7 +170,7 @@
   relay->counters.attempts++;
   relay->counters.prompt_tokens += (uint64_t)r->tokens_in;
   relay->counters.prompt_tokens_missed += (uint64_t)p->miss;
-  if (!r->charged && r->workspace != 0 && r->parts_count > 0) {
+  if (!r->charged && r->workspace != 0 && r->segments_count > 0) {
     mt_fair_share_record_served(&relay->shares, r->workspace, r->cost);
     r->charged = true;
   }
--- a/tests/cold_start_test.cc
+++ b/tests/cold_start_test.cc
@@ -27,11 +27,11 @@
 // of the routers.
 struct Owners {
   std::vector<mt_cold_starts_t> all;
-  std::vector<double> parts;
+  std::vector<double> segments;
   mt_ms_t now = 50000;
   std::vector<mt_ms_t> sent;
 
-  explicit Owners(std::vector<double> p) : all(p.size()), parts(p) {
+  explicit Owners(std::vector<double> p) : all(p.size()), segments(p) {
     for (mt_cold_starts_t &s : all) s = mt_cold_starts_t{};
   }
   ~Owners() {
@@ -41,8 +41,8 @@
     for (mt_cold_starts_t &s : all) mt_cold_starts_set(&s, 7, now + ms, now);
   }
   mt_admission_t ask (size_t owner) {
-    return mt_cold_starts_acquire(&all[owner], 7, rate, &params, parts[owner],
-                                  now);
+    return mt_cold_starts_acquire(&all[owner], 7, rate, &params,
+                                  segments[owner], now);
   }
   // Most requests that arrived within one second.
   size_t most () {
@@ -61,7 +61,7 @@
 TEST(ColdStart, BoundHoldsInEverySecond) {
   struct Row {
     const char *what;
-    std::vector<double> parts;
+    std::vector<double> segments;
     double uses;     // fraction of the permits that are used
     double back;     // fraction of the others that are returned
     size_t at_least; // requests in 3 s
@@ -76,7 +76,7 @@
     for (unsigned seed = 1; seed <= 10; seed++) {
       std::mt19937 random(seed);
       auto chance = [&] (double p) { return (random() % 1000) < p * 1000; };
-      Owners w(row.parts);
+      Owners w(row.segments);
       w.cold(3000);
       std::vector<std::pair<mt_ms_t, size_t>> returns;
       for (int ms = 0; ms < 3000; ms++, w.now++) {
--- a/tests/far_round_test.cc
+++ b/tests/far_round_test.cc
@@ -194,12 +194,12 @@
   mt_domain_loads_learn(w.relay, w.m(5), &load);
   EXPECT_DOUBLE_EQ(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill,
                    1000);
-  EXPECT_EQ(mt_domain_loads_get(w.relay, w.m(9))->told, 0u);
+  EXPECT_EQ(mt_domain_loads_get(w.relay, w.m(9))->quoted_at, 0u);
   w.relay->now = 9;
   mt_domain_loads_learn(w.relay, w.m(7), &none);
   EXPECT_LT(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill, 1000);
   EXPECT_GT(mt_domain_loads_get(w.relay, w.m(6))->pending_prefill, 500);
-  EXPECT_EQ(mt_domain_loads_get(w.relay, w.m(6))->told, 9u);
+  EXPECT_EQ(mt_domain_loads_get(w.relay, w.m(6))->quoted_at, 9u);
   // The table is bounded.
   mt_engine_t *e = w.m(9);
   for (int i = 0; i < 2 * MT_DOMAIN_LOADS_MAX; i++) {
--- a/tests/feed_exchange_test.cc
+++ b/tests/feed_exchange_test.cc
@@ -131,7 +131,7 @@
     for (const mt_change_t &c : changes) {
       if (mt_change_feed(c.kind) != kind) continue;
       newest = std::max(newest, c.rev);
-      if (c.rev <= r->feeds.feeds[kind].state.taken) continue;
+      if (c.rev <= r->feeds.feeds[kind].state.applied) continue;
       if (mt_feed_exchange_add_change(&r->feeds, &c)) apply(r, &c, now);
     }
     mt_feed_exchange_resize_log(&r->feeds, r->known.size());
@@ -287,7 +287,7 @@
   w.deliver(late, reader, *copy);
   EXPECT_EQ(reader->known["i-1"], MT_CHANGE_ENGINE_DRAINING);
   const mt_feed_state_t &after = reader->feeds.feeds[MT_FEED_ENGINES].state;
-  EXPECT_EQ(after.told, before.told);
+  EXPECT_EQ(after.received, before.received);
   EXPECT_EQ(after.newest, before.newest);
 }
 
@@ -371,12 +371,12 @@
   for (auto &r : w.routers) r->rejected = true;
   w.change(MT_CHANGE_ENGINE_GONE, "i-1"); // no router reads it
   w.change(MT_CHANGE_ENGINE_READY, "i-2");
-  int64_t told = behind->feeds.feeds[MT_FEED_ENGINES].state.told;
+  int64_t received = behind->feeds.feeds[MT_FEED_ENGINES].state.received;
   w.list_engines(list_reader);
   w.run(300);
   EXPECT_EQ(behind->known["i-1"], MT_CHANGE_ENGINE_GONE);
   EXPECT_EQ(behind->known["i-2"], MT_CHANGE_ENGINE_READY);
-  EXPECT_EQ(behind->feeds.feeds[MT_FEED_ENGINES].state.told, told);
+  EXPECT_EQ(behind->feeds.feeds[MT_FEED_ENGINES].state.received, received);
 }
 
 // Both watchers of a domain end as an engine crashes. A router that has just
@@ -501,11 +501,11 @@
     for (auto &r : w.routers) {
       after += r->sent;
       const mt_feed_state_t &feed = r->feeds.feeds[MT_FEED_ENGINES].state;
-      EXPECT_EQ(feed.told, w.rev);
+      EXPECT_EQ(feed.received, w.rev);
       EXPECT_EQ(r->known["before"], MT_CHANGE_ENGINE_DRAINING);
       bool has_all = r->known.count("i-0") != 0;
       readers += has_all;
-      EXPECT_EQ(feed.taken == w.rev, has_all);
+      EXPECT_EQ(feed.applied == w.rev, has_all);
     }
     EXPECT_EQ(readers, 6u); // the watchers
     double each = (double)(after - before) / 85;
--- a/tests/feed_state_test.cc
+++ b/tests/feed_state_test.cc
@@ -58,8 +58,8 @@
       EXPECT_EQ(update.base, row.update.base) << row.what;
       EXPECT_EQ(update.reach, row.update.reach) << row.what;
     }
-    EXPECT_EQ(feed.taken, row.at) << row.what;
-    EXPECT_EQ(feed.told, row.at) << row.what;
+    EXPECT_EQ(feed.applied, row.at) << row.what;
+    EXPECT_EQ(feed.received, row.at) << row.what;
     EXPECT_EQ(feed.confirmed, row.now ? 2000u : 1500u) << row.what;
   }
 }
@@ -76,7 +76,7 @@
     int64_t base, reach; // received; all up to 100 is known here
     bool all;            // nothing of it is left to read at the source
     mt_feed_outcome_t outcome;
-    int64_t told, taken; // after it
+    int64_t received, applied; // after it
   } rows[] = {
       {"exactly what is missing", 100, 110, true, MT_FEED_APPLIED, 110, 110},
       {"more than that", 90, 110, true, MT_FEED_APPLIED, 110, 110},
@@ -92,8 +92,8 @@
     EXPECT_EQ(outcome, row.outcome) << row.what;
     if (outcome == MT_FEED_APPLIED)
       mt_feed_state_apply(&feed, row.base, row.reach, row.all);
-    EXPECT_EQ(feed.told, row.told) << row.what;
-    EXPECT_EQ(feed.taken, row.taken) << row.what;
+    EXPECT_EQ(feed.received, row.received) << row.what;
+    EXPECT_EQ(feed.applied, row.applied) << row.what;
   }
 }
 
@@ -112,8 +112,8 @@
     mt_feed_state_t feed{};
     mt_feed_state_read(&feed, 90, 100, 1000, true);
     mt_feed_state_merge(&feed, row.newest, row.at, 1500);
-    EXPECT_EQ(feed.told, row.known) << row.what;
-    EXPECT_EQ(feed.taken, row.known) << row.what;
+    EXPECT_EQ(feed.received, row.known) << row.what;
+    EXPECT_EQ(feed.applied, row.known) << row.what;
     EXPECT_EQ(mt_feed_state_is_behind(&feed), row.behind) << row.what;
   }
 }
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -45,7 +45,7 @@
     in->shares[in->shares_count++] = {12, {1000, 500}};
     in->engines[in->engines_count++] = {
         99, {10, 20, 3}, 400, 77, MT_ADMIT_PERMIT};
-    in->parts[in->parts_count++] = {5, 600};
+    in->segments[in->segments_count++] = {5, 600};
     in->drains[in->drains_count++] = {99, 1780000000000, 700};
     in->spans[MT_FEED_ENGINES] = {4, 6};
     for (int k = 0; k < MT_CHANGE_KINDS; k++) {
@@ -94,7 +94,7 @@
     EXPECT_EQ(out->group, 3u);
     EXPECT_EQ(out->feeds[MT_FEED_ENGINES].newest, 5);
     EXPECT_EQ(out->feeds[MT_FEED_ENGINES].at, 9);
-    EXPECT_EQ(out->feeds[MT_FEED_ENGINES].told, 7);
+    EXPECT_EQ(out->feeds[MT_FEED_ENGINES].received, 7);
     EXPECT_EQ(out->feeds[MT_FEED_ENGINES].age, 200u);
     ASSERT_EQ(out->members_count, 1u);
     EXPECT_EQ(out->members[0].domain, 77u);
@@ -114,8 +114,8 @@
       EXPECT_EQ(out->engines[0].holder, 77u);
       EXPECT_EQ(out->engines[0].admission, MT_ADMIT_PERMIT);
     }
-    ASSERT_EQ(out->parts_count, 1u);
-    EXPECT_EQ(out->parts[0].tokens, 600);
+    ASSERT_EQ(out->segments_count, 1u);
+    EXPECT_EQ(out->segments[0].tokens, 600);
     EXPECT_EQ(out->spans[MT_FEED_ENGINES].base, 4);
     EXPECT_EQ(out->spans[MT_FEED_ENGINES].reach, 6);
     EXPECT_EQ(out->spans[MT_FEED_DECLARATIONS].reach, 0);
@@ -447,7 +447,7 @@
     for (size_t i = 0; i < count; i++) {
       ((Reports *)ud)->rows[to].push_back(engines[i]->key);
       engines[i]->load_dirty = false;
-      engines[i]->told = 1000;
+      engines[i]->reported_at = 1000;
     }
   }
 };
@@ -700,22 +700,22 @@
   Relay w(1);
   w.declare();
   mt_engine_t *e = w.find("m1");
-  const mt_prefix_segment_t parts[] = {{11, 300}, {13, 200}};
+  const mt_prefix_segment_t segments[] = {{11, 300}, {13, 200}};
   mt_load_row_t row{};
   row.router = 5;
   row.load = {700, 50, 2};
   row.valid_until = w.now + 1000;
   w.relay->now = w.now;
-  mt_relay_update_peer_load(w.relay, e->key, &row, parts, 2);
+  mt_relay_update_peer_load(w.relay, e->key, &row, segments, 2);
   e->local = {30, 0, 1};
-  mt_relay_quote_t own = mt_relay_quote(w.relay, e->key, 0, parts, 2);
+  mt_relay_quote_t own = mt_relay_quote(w.relay, e->key, 0, segments, 2);
   EXPECT_EQ(own.peers.pending_prefill, 700);
   EXPECT_EQ(own.cached, 500);
-  mt_relay_quote_t other = mt_relay_quote(w.relay, e->key, 5, parts, 1);
+  mt_relay_quote_t other = mt_relay_quote(w.relay, e->key, 5, segments, 1);
   EXPECT_EQ(other.peers.pending_prefill, 30);
   EXPECT_EQ(other.peers.running, 1);
   EXPECT_EQ(other.cached, 300);
-  mt_relay_quote_t third = mt_relay_quote(w.relay, e->key, 6, parts, 0);
+  mt_relay_quote_t third = mt_relay_quote(w.relay, e->key, 6, segments, 0);
   EXPECT_EQ(third.peers.pending_prefill, 730);
   e->local = {};
 }
--- a/tests/prefix_holders_test.cc
+++ b/tests/prefix_holders_test.cc
@@ -91,9 +91,9 @@
               {"at home", true, 5000, false}};
   for (const Row &row : rows) {
     mt_relay_request_t r{};
-    r.parts[0] = {7, 4000};
-    r.parts[1] = {9, 1000};
-    r.parts_count = 2;
+    r.segments[0] = {7, 4000};
+    r.segments[1] = {9, 1000};
+    r.segments_count = 2;
     r.home = row.home;
     r.pending_prefill = row.pending_prefill;
     EXPECT_EQ(mt_kv_cache_should_report(&r), row.report) << row.what;
@@ -103,13 +103,13 @@
 TEST(PrefixHolders, OwnerNamesTheHolder) {
   Relay r(2);
   r.declare();
-  const mt_prefix_segment_t parts[] = {{11, 300}, {13, 200}};
+  const mt_prefix_segment_t segments[] = {{11, 300}, {13, 200}};
   uint64_t home = r.find("m1")->key, other = r.find("m2")->key;
-  EXPECT_EQ(mt_relay_quote(r.relay, home, 5, parts, 2).holder, 0u);
+  EXPECT_EQ(mt_relay_quote(r.relay, home, 5, segments, 2).holder, 0u);
   mt_prefix_holders_set(&r.relay->holders, 11, other, r.now);
-  EXPECT_EQ(mt_relay_quote(r.relay, home, 5, parts, 2).holder, other);
+  EXPECT_EQ(mt_relay_quote(r.relay, home, 5, segments, 2).holder, other);
   mt_prefix_holders_set(&r.relay->holders, 11, home, r.now); // itself
-  EXPECT_EQ(mt_relay_quote(r.relay, home, 5, parts, 2).holder, 0u);
+  EXPECT_EQ(mt_relay_quote(r.relay, home, 5, segments, 2).holder, 0u);
 }
 
 } // namespace
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -131,9 +131,9 @@
     a.last_event = -1;
     a.tokens_in = tokens;
     a.tokens_out = 50;
-    a.parts[0] = {7, tokens / 2};
-    a.parts[1] = {number * 2 + 1001, tokens - tokens / 2};
-    a.parts_count = 2;
+    a.segments[0] = {7, tokens / 2};
+    a.segments[1] = {number * 2 + 1001, tokens - tokens / 2};
+    a.segments_count = 2;
     mt_relay_event_t event{};
     event.kind = MT_RELAY_REQUEST;
     event.request = number;
--- a/tests/revision_test.cc
+++ b/tests/revision_test.cc
@@ -62,7 +62,7 @@
   for (int i = 0; i < MT_FEEDS; i++) {
     EXPECT_EQ(out->feeds[i].newest, in->feeds[i].newest);
     EXPECT_EQ(out->feeds[i].at, in->feeds[i].at);
-    EXPECT_EQ(out->feeds[i].told, in->feeds[i].told);
+    EXPECT_EQ(out->feeds[i].received, in->feeds[i].received);
     EXPECT_EQ(out->spans[i].base, in->spans[i].base);
     EXPECT_EQ(out->spans[i].reach, in->spans[i].reach);
   }
@@ -105,8 +105,8 @@
     mt_feed_state_read(&feed, mt_revision(1, 90), mt_revision(1, 100), 1000,
                        true);
     mt_feed_state_merge(&feed, row.newest, row.at, 1500);
-    EXPECT_EQ(feed.told, row.known) << row.what;
-    EXPECT_EQ(feed.taken, row.known) << row.what;
+    EXPECT_EQ(feed.received, row.known) << row.what;
+    EXPECT_EQ(feed.applied, row.known) << row.what;
     EXPECT_EQ(mt_feed_state_is_behind(&feed), row.lacks) << row.what;
   }
 }
