--- a/bench/bbmain.c
+++ b/bench/bbmain.c
@@ -1,5 +1,5 @@
 /*
-** bbmain.c - the bench: names of its runs
+** bbmain.c - the bench's command line and its list of benchmarks
 */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,27 +9,31 @@
 
 static const struct {
   const char *name;
-  bb_run_t run;
-  const char *what;
+  bb_bench_t run;
+  const char *summary;
 } runs[] = {
     {"demo", bb_demo,
-     "three routers serve a streamed answer; --keep 1 leaves them up"},
+     "three routers serve example requests; --keep 1 leaves them running"},
     {"fair", bb_fair,
-     "gap and use of 8 routers in 4 domains, against baselines"},
-    {"share", bb_share, "the same with shares of 1, 2 and 4"},
-    {"flood", bb_flood, "wait of small workspaces while one floods"},
-    {"use", bb_userun, "use of unequal engines in bursts; prefix hits"},
-    {"wake", bb_wake, "an idle workspace returns"},
-    {"skew", bb_skew, "everything enters at one router"},
-    {"overhead", bb_overhead, "added time, requests per second"},
+     "fairness gap and engine utilization of 8 routers in 4 domains, against baselines"},
+    {"share", bb_share, "the same for workspaces with shares of 1, 2 and 4"},
+    {"flood", bb_flood,
+     "waits of small workspaces while another one floods the cluster"},
+    {"use", bb_utilization,
+     "utilization of engines of unequal speed in bursts; prefix cache hits"},
+    {"wake", bb_idle_return,
+     "fairness when an idle workspace starts to send again"},
+    {"skew", bb_skew, "all requests arrive at one router"},
+    {"overhead", bb_overhead,
+     "added latency, requests per second, memory per request"},
     {"scale", bb_scale,
-     "control cost over routers, workspaces, engines, requests"},
+     "control traffic by number of routers, domains, workspaces, engines, requests"},
     {"failover", bb_failover,
-     "time until grants flow after a scheduler is killed"},
+     "time until requests are granted again after a scheduler is killed"},
     {"faults", bb_faults,
-     "seeded faults under load, promises checked; --repeat RUNS"},
+     "seeded faults under load, with invariants checked; --repeat RUNS"},
     {"config", bb_config,
-     "time until a change is in force; calls to the store"},
+     "time until a change is applied on every router; requests to the store"},
 };
 
 static int usage (void) {
@@ -37,15 +41,15 @@
       stderr,
       "Usage: bench NAME [--seconds N] [--seed N] [--repeat N] [--json FILE]\n\n");
   for (size_t i = 0; i < sizeof runs / sizeof runs[0]; i++)
-    fprintf(stderr, "  %-10s %s\n", runs[i].name, runs[i].what);
+    fprintf(stderr, "  %-10s %s\n", runs[i].name, runs[i].summary);
   return 2;
 }
 
 static const char *option (int argc, char **argv, const char *name,
-                           const char *otherwise) {
+                           const char *def) {
   for (int i = 2; i + 1 < argc; i++)
     if (strcmp(argv[i], name) == 0) return argv[i + 1];
-  return otherwise;
+  return def;
 }
 
 int main (int argc, char **argv) {
--- a/bench/bbout.h
+++ b/bench/bbout.h
@@ -1,42 +1,57 @@
 /*
-** bbout.h - what a run prints: "name value unit" lines, medians, JSON
+** bbout.h - output and measurements of benchmarks
 */
 #ifndef bbout_h
 #define bbout_h
 
 #include "bbrun.h"
 
-/* Prints one line and keeps its value. */
-void bb_line (const char *name, double value, const char *unit);
+/* Prints a line "name value unit" and records the value for the summary. */
+void bb_print_value (const char *name, double value, const char *unit);
 
-/* Prints least, median and most of each line over the repeats; writes JSON.
- */
-void bb_summary (const bb_options_t *o);
+/*
+** Prints minimum, median and maximum of each recorded name when the benchmark
+** was repeated, and writes all values to the JSON file of the options, if
+** there is one.
+*/
+void bb_print_summary (const bb_options_t *o);
 
-/* {== Measures of a lab ================================================ */
+/* {== Measurements of a cluster ======================================== */
 
-/* Sums over the engines, as they count themselves. */
-typedef struct bb_engines_t {
+/*
+** Sums of the engines' own counters: busy slot milliseconds and slots, both
+** weighted by speed; tokens, prefix cache hits and misses, requests run.
+*/
+typedef struct bb_engine_totals_t {
   double busy, slots, tokens, hits, misses, runs;
-  uint64_t at; /* ns */
-} bb_engines_t;
+  uint64_t at; /* when they were read, ns */
+} bb_engine_totals_t;
 
-bb_engines_t bb_engines (bb_lab_t *lab);
+bb_engine_totals_t bb_engine_totals (bb_cluster_t *cluster);
 
-/* Share of the slots, weighed by speed, that was busy between two looks. */
-double bb_use (const bb_engines_t *before, const bb_engines_t *after);
+/* Fraction of the slots, weighted by speed, busy between two readings. */
+double bb_engine_utilization (const bb_engine_totals_t *before,
+                              const bb_engine_totals_t *after);
 
-/* What the routers spend on control, between two looks. */
-typedef struct bb_control_t {
-  double bytes[BB_MAX_ROUTERS], cpu[BB_MAX_ROUTERS], messages[BB_MAX_ROUTERS];
-  double meanbytes, mostbytes, meancore, meanmessages, memory;
-  uint64_t at;
-} bb_control_t;
-
-void bb_control (bb_lab_t *lab, bb_control_t *c);
-/* Fills the rates per second of `now` from an earlier look. */
-void bb_rates (const bb_lab_t *lab, const bb_control_t *before,
-               bb_control_t *now);
+/*
+** Cost of the routers' control traffic. The arrays hold each router's
+** counters: bytes, CPU seconds and messages. The other fields are computed
+** over the routers: bytes and messages per second, CPU cores, and the
+** largest resident memory, bytes.
+*/
+typedef struct bb_control_cost_t {
+  double bytes[BB_ROUTERS_MAX], cpu[BB_ROUTERS_MAX], messages[BB_ROUTERS_MAX];
+  double mean_bytes, max_bytes, mean_cores, mean_messages, max_memory;
+  uint64_t at; /* when the counters were read, ns */
+} bb_control_cost_t;
+
+/* Reads the counters and the memory. */
+void bb_read_control_cost (bb_cluster_t *cluster, bb_control_cost_t *c);
+
+/* Computes the rates of `now` since the reading `before`. */
+void bb_control_rates (const bb_cluster_t *cluster,
+                       const bb_control_cost_t *before,
+                       bb_control_cost_t *now);
 
 /* }== */
 
--- a/standin/siproxy.c
+++ b/standin/siproxy.c
@@ -1,5 +1,5 @@
 /*
-** siproxy.c - a TCP proxy that injects faults on command
+** siproxy.c - a TCP proxy that injects faults, set over HTTP
 */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -9,56 +9,58 @@
 #include "mtset.h"
 #include "standin.h"
 
-#define CHUNK 65536
+#define READ_BUFFER_BYTES 65536
 
 typedef enum faultmode_t {
   PASS,
-  CUT,
-  BLACKHOLE,
-  HALFOPEN,
-  UP,
-  DOWN
+  CUT,       /* closes connections, also new ones */
+  BLACKHOLE, /* stops reading in both directions */
+  HALFOPEN,  /* the same; new connections never reach the upstream */
+  BLOCK_UP,  /* stops reading from clients */
+  BLOCK_DOWN /* stops reading from the upstream */
 } faultmode_t;
 
 static const char *const modes[] = {"pass",     "cut", "blackhole",
                                     "halfopen", "up",  "down"};
 
+/* A loopback port whose connections go to one upstream address. */
 typedef struct link_t {
   uv_tcp_t listener;
   uv_loop_t *loop;
-  struct sockaddr_in to;
+  struct sockaddr_in to; /* the upstream */
   uint16_t port;
   faultmode_t mode;
-  long delay;
-  struct pipe_t *pipes;
+  long delay; /* of each chunk, ms */
+  struct conn_t *conns;
 } link_t;
 
-/* One side of a connection. */
-typedef struct side_t {
+/* One end of a proxied connection. */
+typedef struct endpoint_t {
   uv_tcp_t tcp;
-  struct pipe_t *pipe;
-  bool up; /* bytes read here go towards the target */
+  struct conn_t *conn;
+  bool from_client; /* bytes read here go to the upstream */
   bool reading;
-} side_t;
+} endpoint_t;
 
-typedef struct pipe_t {
+/* A connection from a client and its connection to the upstream. */
+typedef struct conn_t {
   link_t *link;
-  side_t near, far;
+  endpoint_t client, upstream;
   uv_connect_t connect;
   bool connected, closing;
-  int open;
-  struct pipe_t *next;
-} pipe_t;
+  int refs; /* open ends and chunks on their way */
+  struct conn_t *next;
+} conn_t;
 
-/* Bytes on their way to the other side. */
-typedef struct parcel_t {
+/* Bytes to be written to the other end after the link's delay. */
+typedef struct chunk_t {
   uv_timer_t timer;
   uv_write_t write;
-  pipe_t *pipe;
-  side_t *to;
+  conn_t *conn;
+  endpoint_t *to;
   char *bytes;
-  size_t n;
-} parcel_t;
+  size_t n; /* 0: the end of the stream */
+} chunk_t;
 
 typedef struct proxy_t {
   uv_loop_t *loop;
@@ -67,11 +69,11 @@
 
 static void onread (uv_stream_t *s, ssize_t n, const uv_buf_t *buf);
 
-/* {== Pipes ============================================================ */
+/* {== Connections ====================================================== */
 
-static void release (pipe_t *p) {
-  if (--p->open > 0) return;
-  for (pipe_t **at = &p->link->pipes; *at; at = &(*at)->next) {
+static void unref (conn_t *p) {
+  if (--p->refs > 0) return;
+  for (conn_t **at = &p->link->conns; *at; at = &(*at)->next) {
     if (*at != p) continue;
     *at = p->next;
     break;
@@ -79,23 +81,24 @@
   free(p);
 }
 
-static void onsideclosed (uv_handle_t *h) {
-  release(((side_t *)h->data)->pipe);
+static void onendpointclosed (uv_handle_t *h) {
+  unref(((endpoint_t *)h->data)->conn);
 }
 
-static void closepipe (pipe_t *p) {
+static void close_conn (conn_t *p) {
   if (p->closing) return;
   p->closing = true;
-  uv_close((uv_handle_t *)&p->near.tcp, onsideclosed);
-  uv_close((uv_handle_t *)&p->far.tcp, onsideclosed);
+  uv_close((uv_handle_t *)&p->client.tcp, onendpointclosed);
+  uv_close((uv_handle_t *)&p->upstream.tcp, onendpointclosed);
 }
 
-static bool blocked (const side_t *s) {
-  switch (s->pipe->link->mode) {
+/* True when the link's mode stops what this end sends. */
+static bool blocked (const endpoint_t *s) {
+  switch (s->conn->link->mode) {
     case BLACKHOLE:
     case HALFOPEN: return true;
-    case UP: return s->up;
-    case DOWN: return !s->up;
+    case BLOCK_UP: return s->from_client;
+    case BLOCK_DOWN: return !s->from_client;
     case PASS:
     case CUT: break;
   }
@@ -105,80 +108,80 @@
 static void onalloc (uv_handle_t *h, size_t size, uv_buf_t *buf) {
   (void)h;
   (void)size;
-  *buf = uv_buf_init(mtV_new(CHUNK), CHUNK);
+  *buf = uv_buf_init(mtV_new(READ_BUFFER_BYTES), READ_BUFFER_BYTES);
 }
 
-/* Reads a side unless its link swallows what comes from there. */
-static void regulate (side_t *s) {
-  bool want = s->pipe->connected && !s->pipe->closing && !blocked(s);
+/* Starts or stops reading an end, by the mode of its link. */
+static void update_reading (endpoint_t *s) {
+  bool want = s->conn->connected && !s->conn->closing && !blocked(s);
   if (want && !s->reading)
     uv_read_start((uv_stream_t *)&s->tcp, onalloc, onread);
   if (!want && s->reading) uv_read_stop((uv_stream_t *)&s->tcp);
   s->reading = want;
 }
 
-static void onparcelclosed (uv_handle_t *h) {
-  parcel_t *k = h->data;
+static void onchunkclosed (uv_handle_t *h) {
+  chunk_t *k = h->data;
   free(k->bytes);
   free(k);
 }
 
-static void onparcelwritten (uv_write_t *w, int status) {
-  parcel_t *k = w->data;
-  if (status != 0 && status != UV_ECANCELED) closepipe(k->pipe);
-  release(k->pipe);
-  uv_close((uv_handle_t *)&k->timer, onparcelclosed);
+static void onchunkwritten (uv_write_t *w, int status) {
+  chunk_t *k = w->data;
+  if (status != 0 && status != UV_ECANCELED) close_conn(k->conn);
+  unref(k->conn);
+  uv_close((uv_handle_t *)&k->timer, onchunkclosed);
 }
 
-static void ondue (uv_timer_t *t) {
-  parcel_t *k = t->data;
+static void onchunkdue (uv_timer_t *t) {
+  chunk_t *k = t->data;
   uv_buf_t buf = uv_buf_init(k->bytes, (unsigned)k->n);
   k->write.data = k;
-  if (k->n == 0) closepipe(k->pipe); /* the end of this side */
-  bool gone = k->pipe->closing;
+  if (k->n == 0) close_conn(k->conn); /* the other end was closed */
+  bool gone = k->conn->closing;
   if (!gone && uv_write(&k->write, (uv_stream_t *)&k->to->tcp, &buf, 1,
-                        onparcelwritten) == 0)
+                        onchunkwritten) == 0)
     return;
-  onparcelwritten(&k->write, UV_ECANCELED);
+  onchunkwritten(&k->write, UV_ECANCELED);
 }
 
 static void onread (uv_stream_t *s, ssize_t n, const uv_buf_t *buf) {
-  side_t *side = s->data;
-  pipe_t *p = side->pipe;
+  endpoint_t *side = s->data;
+  conn_t *p = side->conn;
   if (n == 0) {
     free(buf->base);
     return;
   }
   if (n < 0) uv_read_stop(s);
-  parcel_t *k = mtV_new(sizeof *k);
-  k->pipe = p;
-  k->to = side->up ? &p->far : &p->near;
+  chunk_t *k = mtV_new(sizeof *k);
+  k->conn = p;
+  k->to = side->from_client ? &p->upstream : &p->client;
   k->bytes = buf->base;
   k->n = n > 0 ? (size_t)n : 0;
   k->write.data = k;
-  p->open++;
+  p->refs++;
   uv_timer_init(p->link->loop, &k->timer);
   k->timer.data = k;
-  uv_timer_start(&k->timer, ondue, (uint64_t)p->link->delay, 0);
+  uv_timer_start(&k->timer, onchunkdue, (uint64_t)p->link->delay, 0);
 }
 
 static void onconnected (uv_connect_t *c, int status) {
-  pipe_t *p = c->data;
+  conn_t *p = c->data;
   if (p->closing) return;
   if (status != 0) {
-    closepipe(p);
+    close_conn(p);
     return;
   }
   p->connected = true;
-  uv_tcp_nodelay(&p->near.tcp, 1);
-  uv_tcp_nodelay(&p->far.tcp, 1);
-  regulate(&p->near);
-  regulate(&p->far);
+  uv_tcp_nodelay(&p->client.tcp, 1);
+  uv_tcp_nodelay(&p->upstream.tcp, 1);
+  update_reading(&p->client);
+  update_reading(&p->upstream);
 }
 
-static void initside (pipe_t *p, side_t *s, bool up) {
-  s->pipe = p;
-  s->up = up;
+static void init_endpoint (conn_t *p, endpoint_t *s, bool from_client) {
+  s->conn = p;
+  s->from_client = from_client;
   uv_tcp_init(p->link->loop, &s->tcp);
   s->tcp.data = s;
 }
@@ -186,41 +189,41 @@
 static void onincoming (uv_stream_t *listener, int status) {
   link_t *l = listener->data;
   if (status != 0) return;
-  pipe_t *p = mtV_new(sizeof *p);
+  conn_t *p = mtV_new(sizeof *p);
   p->link = l;
-  p->open = 2;
-  initside(p, &p->near, true);
-  initside(p, &p->far, false);
-  p->next = l->pipes;
-  l->pipes = p;
+  p->refs = 2;
+  init_endpoint(p, &p->client, true);
+  init_endpoint(p, &p->upstream, false);
+  p->next = l->conns;
+  l->conns = p;
   p->connect.data = p;
-  if (uv_accept(listener, (uv_stream_t *)&p->near.tcp) != 0 ||
+  if (uv_accept(listener, (uv_stream_t *)&p->client.tcp) != 0 ||
       l->mode == CUT) {
-    closepipe(p);
+    close_conn(p);
     return;
   }
   if (l->mode == HALFOPEN) return;
-  if (uv_tcp_connect(&p->connect, &p->far.tcp, (struct sockaddr *)&l->to,
+  if (uv_tcp_connect(&p->connect, &p->upstream.tcp, (struct sockaddr *)&l->to,
                      onconnected) != 0)
-    closepipe(p);
+    close_conn(p);
 }
 
 /* }== */
 
 /* {== Commands ========================================================= */
 
-static void addlink (proxy_t *x, mt_webreq_t *r) {
+static void add_link (proxy_t *x, mt_webreq_t *r) {
   char to[80], text[64];
   mt_addr_t a;
   if (!mtB_param(r, "to", to, sizeof to) || !mtJ_address(to, a.ip, &a.port)) {
-    si_text(r, 400, "text/plain", "to=IP:PORT is missing");
+    si_reply(r, 400, "text/plain", "to=IP:PORT is missing");
     return;
   }
   link_t *l = mtV_new(sizeof *l);
   struct sockaddr_in here;
   int len = sizeof here;
   l->loop = x->loop;
-  l->delay = si_param(r, "delay", 0);
+  l->delay = si_query_int(r, "delay", 0);
   uv_ip4_addr(a.ip, a.port, &l->to);
   uv_ip4_addr("127.0.0.1", 0, &here);
   uv_tcp_init(x->loop, &l->listener);
@@ -231,45 +234,45 @@
   l->port = ntohs(here.sin_port);
   mtV_put(&x->links, l->port, l);
   snprintf(text, sizeof text, "{\"port\": %u}", l->port);
-  si_text(r, 200, "application/json", text);
+  si_reply(r, 200, "application/json", text);
 }
 
-static void setlink (link_t *l, faultmode_t mode, long delay) {
+static void set_link (link_t *l, faultmode_t mode, long delay) {
   l->mode = mode;
   l->delay = delay;
-  for (pipe_t *p = l->pipes, *next; p != NULL; p = next) {
+  for (conn_t *p = l->conns, *next; p != NULL; p = next) {
     next = p->next;
     if (mode == CUT) {
-      closepipe(p);
+      close_conn(p);
     } else if (!p->closing) {
-      regulate(&p->near);
-      regulate(&p->far);
+      update_reading(&p->client);
+      update_reading(&p->upstream);
     }
   }
 }
 
-static void set (proxy_t *x, mt_webreq_t *r) {
+static void handle_set (proxy_t *x, mt_webreq_t *r) {
   char name[16] = "pass";
   mtB_param(r, "mode", name, sizeof name);
-  link_t *l = mtV_get(&x->links, (uint64_t)si_param(r, "port", 0));
+  link_t *l = mtV_get(&x->links, (uint64_t)si_query_int(r, "port", 0));
   int mode = 0;
   while (mode < (int)mt_countof(modes) && strcmp(modes[mode], name) != 0)
     mode++;
   if (l == NULL || mode == (int)mt_countof(modes)) {
-    si_text(r, 400, "text/plain", "no such port or mode");
+    si_reply(r, 400, "text/plain", "no such port or mode");
     return;
   }
-  setlink(l, (faultmode_t)mode, si_param(r, "delay", l->delay));
-  si_text(r, 200, "text/plain", "ok");
+  set_link(l, (faultmode_t)mode, si_query_int(r, "delay", l->delay));
+  si_reply(r, 200, "text/plain", "ok");
 }
 
 static void handle (void *ud, mt_webreq_t *r) {
   if (mtB_is(r, "POST", "/link"))
-    addlink(ud, r);
+    add_link(ud, r);
   else if (mtB_is(r, "POST", "/set"))
-    set(ud, r);
+    handle_set(ud, r);
   else
-    si_text(r, 404, "text/plain", "no such page");
+    si_reply(r, 404, "text/plain", "no such page");
 }
 
 /* }== */
@@ -278,7 +281,7 @@
   proxy_t *x = mtV_new(sizeof *x);
   x->loop = loop;
   mt_web_t *web = si_listen(
-      loop, (uint16_t)si_number(argc, argv, "--port", 0), handle, x);
+      loop, (uint16_t)si_option_int(argc, argv, "--port", 0), handle, x);
   printf("{\"url\": \"http://127.0.0.1:%u\"}\n", mtB_port(web));
   return 0;
 }
--- a/standin/siservice.c
+++ b/standin/siservice.c
@@ -1,5 +1,5 @@
 /*
-** siservice.c - stand-in for a plain service that counts its calls
+** siservice.c - simulated plain service that counts its requests by name
 */
 #include <stdio.h>
 #include <stdlib.h>
@@ -7,45 +7,45 @@
 
 #include "standin.h"
 
-#define CALL_BYTES 64
+#define CALL_NAME_BYTES 64
 
 typedef struct count_t {
-  char call[CALL_BYTES];
+  char call[CALL_NAME_BYTES]; /* the 'call' parameter of the requests */
   int n;
 } count_t;
 
 typedef struct service_t {
   uv_loop_t *loop;
-  mt_map_t calls; /* hash of the call's name -> count_t */
+  mt_map_t calls; /* hash of the name -> count_t */
 } service_t;
 
-/* An answer on its way. */
-typedef struct late_t {
+/* A reply that is sent after the delay that the request asks for. */
+typedef struct delayed_t {
   uv_timer_t timer;
   mt_webreq_t *r;
   char text[128];
-} late_t;
+} delayed_t;
 
 static void onclosed (uv_handle_t *h) {
   free(h->data);
 }
 
-static void onlate (uv_timer_t *t) {
-  late_t *l = t->data;
+static void ondelayed (uv_timer_t *t) {
+  delayed_t *l = t->data;
   if (l->r != NULL) {
     mtB_set_callbacks(l->r, NULL, NULL, NULL);
-    si_text(l->r, 200, "application/json", l->text);
+    si_reply(l->r, 200, "application/json", l->text);
   }
   uv_close((uv_handle_t *)t, onclosed);
 }
 
-static void ongone (void *ud, mt_webreq_t *r) {
+static void ondisconnect (void *ud, mt_webreq_t *r) {
   (void)r;
-  ((late_t *)ud)->r = NULL;
+  ((delayed_t *)ud)->r = NULL;
 }
 
-static void list (service_t *s, mt_webreq_t *r) {
-  size_t cap = s->calls.used * (CALL_BYTES + 16) + 16, n = 1;
+static void reply_counts (service_t *s, mt_webreq_t *r) {
+  size_t cap = s->calls.used * (CALL_NAME_BYTES + 16) + 16, n = 1;
   char *text = mtV_new(cap);
   text[0] = '{';
   mtV_each (&s->calls, i) {
@@ -54,13 +54,13 @@
                           c->call, c->n);
   }
   snprintf(text + n, cap - n, "}");
-  si_text(r, 200, "application/json", text);
+  si_reply(r, 200, "application/json", text);
   free(text);
 }
 
-/* Counts the call when it arrives: from then on it has run. */
+/* Counts the request on arrival: it has run even if the client leaves. */
 static void call (service_t *s, mt_webreq_t *r) {
-  char name[CALL_BYTES] = "unnamed";
+  char name[CALL_NAME_BYTES] = "unnamed";
   mtB_param(r, "call", name, sizeof name);
   uint64_t key = mtV_hash(name, strlen(name)) | 1;
   count_t *c = mtV_get(&s->calls, key);
@@ -70,19 +70,20 @@
     mtV_put(&s->calls, key, c);
   }
   c->n++;
-  late_t *l = mtV_new(sizeof *l);
+  delayed_t *l = mtV_new(sizeof *l);
   l->r = r;
   snprintf(l->text, sizeof l->text, "{\"call\":\"%s\",\"ran\":%d}", name,
            c->n);
   uv_timer_init(s->loop, &l->timer);
   l->timer.data = l;
-  mtB_set_callbacks(r, l, ongone, NULL);
-  uv_timer_start(&l->timer, onlate, (uint64_t)si_param(r, "delay", 1), 0);
+  mtB_set_callbacks(r, l, ondisconnect, NULL);
+  uv_timer_start(&l->timer, ondelayed, (uint64_t)si_query_int(r, "delay", 1),
+                 0);
 }
 
 static void handle (void *ud, mt_webreq_t *r) {
   if (mtB_is(r, "GET", "/calls"))
-    list(ud, r);
+    reply_counts(ud, r);
   else
     call(ud, r);
 }
@@ -91,7 +92,7 @@
   service_t *s = mtV_new(sizeof *s);
   s->loop = loop;
   mt_web_t *web = si_listen(
-      loop, (uint16_t)si_number(argc, argv, "--port", 0), handle, s);
+      loop, (uint16_t)si_option_int(argc, argv, "--port", 0), handle, s);
   printf("{\"url\": \"http://127.0.0.1:%u\"}\n", mtB_port(web));
   return 0;
 }
--- a/standin/sistore.c
+++ b/standin/sistore.c
@@ -1,5 +1,5 @@
 /*
-** sistore.c - stand-in for the platform's key-value service
+** sistore.c - simulated key-value store: values, watches, leases, faults
 */
 #include <inttypes.h>
 #include <stdio.h>
@@ -8,53 +8,55 @@
 
 #include "standin.h"
 
-#define WRITES_PER_S 100
-#define READS_PER_S 2000
-#define SWEEP_MS 20
+/* Requests beyond these are rejected with 429, unless --limit is 0. */
+#define WRITES_PER_S_MAX 100
+#define READS_PER_S_MAX 2000
+#define TICK_MS 20 /* interval at which watches and leases are checked */
 
 typedef struct entry_t {
   char key[160];
   char *text;
   size_t n;
-  int64_t revision;
-  uint64_t lease;
+  int64_t revision; /* of its last write */
+  uint64_t lease;   /* that it ends with; 0: none */
 } entry_t;
 
+/* A long poll for a revision of a key that is later than `after`. */
 typedef struct watch_t {
   mt_webreq_t *r;
   uint64_t key;
   int64_t after;
-  uint64_t until;
+  uint64_t expires; /* loop time, ms */
   struct watch_t *next;
   struct store_t *s;
 } watch_t;
 
 typedef struct lease_t {
-  uint64_t ttl, until;
+  uint64_t ttl, expires; /* ms; loop time, ms */
 } lease_t;
 
-/* An answer that is held back while the store is slow. */
-typedef struct held_t {
+/* A request that is delayed while the store is slow. */
+typedef struct delayed_t {
   mt_webreq_t *r;
   uv_timer_t timer;
   struct store_t *s;
-} held_t;
+} delayed_t;
 
 typedef struct store_t {
   uv_loop_t *loop;
   mt_map_t entries, leases;
-  int64_t revision;
-  uint64_t lastlease;
+  int64_t revision; /* of the last change */
+  uint64_t last_lease;
   watch_t *watches;
-  uint64_t reads, writes, watchcalls, refused;
-  bool outage, limit;
-  long slow, lostack;
-  uint64_t second;
-  int readsnow, writesnow;
+  uint64_t reads, writes, watch_requests, rejected;
+  bool outage, rate_limited;
+  long delay_ms, lost_acks; /* lost_acks: replies to writes to lose */
+  uint64_t second;          /* that the next two counters are for */
+  int second_reads, second_writes;
 } store_t;
 
-static void answer (mt_webreq_t *r, int status, int64_t revision,
-                    const char *text, size_t n) {
+static void reply_value (mt_webreq_t *r, int status, int64_t revision,
+                         const char *text, size_t n) {
   char rev[24];
   snprintf(rev, sizeof rev, "%" PRId64, revision);
   mt_header_t h[2] = {{"content-type", "application/octet-stream"},
@@ -62,14 +64,15 @@
   mtB_reply(r, status, h, 2, text, n);
 }
 
-static uint64_t keyof (mt_bytes_t path, const char *head) {
+/* The map key for the path after its prefix `head`; never 0. */
+static uint64_t path_key (mt_bytes_t path, const char *head) {
   size_t n = strlen(head);
   return mtV_hash(path.p + n, path.n - n) | 1;
 }
 
 /* {== Watches ========================================================== */
 
-static void ongone (void *ud, mt_webreq_t *r) {
+static void onwatch_disconnect (void *ud, mt_webreq_t *r) {
   watch_t *w = ud;
   for (watch_t **at = &w->s->watches; *at; at = &(*at)->next) {
     if (*at != w) continue;
@@ -80,13 +83,13 @@
   free(w);
 }
 
-/* Answers the watches that a change or the clock has ended. */
-static void sweep (store_t *s) {
+/* Completes watches whose key has changed, that timed out, or on outage. */
+static void complete_watches (store_t *s) {
   for (watch_t **at = &s->watches; *at;) {
     watch_t *w = *at;
     entry_t *e = mtV_get(&s->entries, w->key);
     bool newer = e != NULL && e->revision > w->after;
-    if (!newer && uv_now(s->loop) < w->until && !s->outage) {
+    if (!newer && uv_now(s->loop) < w->expires && !s->outage) {
       at = &w->next;
       continue;
     }
@@ -95,50 +98,51 @@
     if (s->outage)
       mtB_abort(w->r);
     else if (newer)
-      answer(w->r, 200, e->revision, e->text, e->n);
+      reply_value(w->r, 200, e->revision, e->text, e->n);
     else
-      answer(w->r, 204, 0, "", 0);
+      reply_value(w->r, 204, 0, "", 0);
     free(w);
   }
 }
 
-static void watch (store_t *s, mt_webreq_t *r) {
+static void add_watch (store_t *s, mt_webreq_t *r) {
   watch_t *w = mtV_new(sizeof *w);
   w->s = s;
   w->r = r;
-  w->key = keyof(mtB_path(r), "/watch/");
-  w->after = si_param(r, "after", 0);
-  w->until = uv_now(s->loop) + (uint64_t)si_param(r, "wait", 1000);
+  w->key = path_key(mtB_path(r), "/watch/");
+  w->after = si_query_int(r, "after", 0);
+  w->expires = uv_now(s->loop) + (uint64_t)si_query_int(r, "wait", 1000);
   w->next = s->watches;
   s->watches = w;
-  mtB_set_callbacks(r, w, ongone, NULL);
-  sweep(s);
+  mtB_set_callbacks(r, w, onwatch_disconnect, NULL);
+  complete_watches(s);
 }
 
 /* }== */
 
 /* {== Values =========================================================== */
 
-static void get (store_t *s, mt_webreq_t *r) {
-  entry_t *e = mtV_get(&s->entries, keyof(mtB_path(r), "/kv/"));
+static void get_value (store_t *s, mt_webreq_t *r) {
+  entry_t *e = mtV_get(&s->entries, path_key(mtB_path(r), "/kv/"));
   if (e == NULL)
-    answer(r, 404, 0, "", 0);
+    reply_value(r, 404, 0, "", 0);
   else
-    answer(r, 200, e->revision, e->text, e->n);
+    reply_value(r, 200, e->revision, e->text, e->n);
 }
 
-static void drop (store_t *s, uint64_t key) {
+static void delete_entry (store_t *s, uint64_t key) {
   entry_t *e = mtV_del(&s->entries, key);
   if (e == NULL) return;
   free(e->text);
   free(e);
 }
 
-static int writevalue (store_t *s, mt_webreq_t *r, int64_t *revision) {
-  uint64_t key = keyof(mtB_path(r), "/kv/");
+/* Handles PUT /kv/ and returns the status; *revision is the key's. */
+static int put_value (store_t *s, mt_webreq_t *r, int64_t *revision) {
+  uint64_t key = path_key(mtB_path(r), "/kv/");
   entry_t *e = mtV_get(&s->entries, key);
-  int64_t expect = si_param(r, "if", -1);
-  uint64_t lease = (uint64_t)si_param(r, "lease", 0);
+  int64_t expect = si_query_int(r, "if", -1);
+  uint64_t lease = (uint64_t)si_query_int(r, "lease", 0);
   mt_bytes_t body = mtB_body(r);
   *revision = e ? e->revision : 0;
   if (body.n > MT_VALUE_MAX) return 413;
@@ -157,13 +161,13 @@
   return 200;
 }
 
-static int deletevalue (store_t *s, mt_webreq_t *r) {
-  uint64_t key = keyof(mtB_path(r), "/kv/");
+static int delete_value (store_t *s, mt_webreq_t *r) {
+  uint64_t key = path_key(mtB_path(r), "/kv/");
   entry_t *e = mtV_get(&s->entries, key);
-  int64_t expect = si_param(r, "if", -1);
+  int64_t expect = si_query_int(r, "if", -1);
   if (e == NULL) return 404;
   if (expect >= 0 && expect != e->revision) return 409;
-  drop(s, key);
+  delete_entry(s, key);
   s->revision++;
   return 200;
 }
@@ -171,32 +175,33 @@
 static void lease (store_t *s, mt_webreq_t *r) {
   char text[24];
   lease_t *l = mtV_new(sizeof *l);
-  l->ttl = (uint64_t)si_param(r, "ttl", 10000);
-  l->until = uv_now(s->loop) + l->ttl;
-  mtV_put(&s->leases, ++s->lastlease, l);
-  snprintf(text, sizeof text, "%" PRIu64, s->lastlease);
-  si_text(r, 200, "text/plain", text);
+  l->ttl = (uint64_t)si_query_int(r, "ttl", 10000);
+  l->expires = uv_now(s->loop) + l->ttl;
+  mtV_put(&s->leases, ++s->last_lease, l);
+  snprintf(text, sizeof text, "%" PRIu64, s->last_lease);
+  si_reply(r, 200, "text/plain", text);
 }
 
 static void keepalive (store_t *s, mt_webreq_t *r) {
   mt_bytes_t p = mtB_path(r);
   uint64_t id = strtoull(p.p + strlen("/lease/"), NULL, 10);
   lease_t *l = mtV_get(&s->leases, id);
-  if (l != NULL) l->until = uv_now(s->loop) + l->ttl;
-  si_text(r, l ? 200 : 410, "text/plain", "");
+  if (l != NULL) l->expires = uv_now(s->loop) + l->ttl;
+  si_reply(r, l ? 200 : 410, "text/plain", "");
 }
 
-static void expire (store_t *s) {
+/* Deletes the entries of an expired lease; at most one lease a tick. */
+static void expire_leases (store_t *s) {
   mtV_each (&s->leases, i) {
     lease_t *l = s->leases.vals[i];
-    if (uv_now(s->loop) < l->until) continue;
+    if (uv_now(s->loop) < l->expires) continue;
     uint64_t id = s->leases.keys[i];
     free(mtV_del(&s->leases, id));
     for (size_t j = 0; j < s->entries.cap; j++) {
       entry_t *e = s->entries.keys[j] ? s->entries.vals[j] : NULL;
       if (e == NULL || e->lease != id) continue;
-      drop(s, s->entries.keys[j]);
-      j = (size_t)-1; /* the map has moved: look again */
+      delete_entry(s, s->entries.keys[j]);
+      j = (size_t)-1; /* deleting moves entries: start over */
     }
     return;
   }
@@ -204,32 +209,34 @@
 
 /* }== */
 
-/* {== Calls ============================================================ */
+/* {== Requests ========================================================= */
 
-static void counts (store_t *s, mt_webreq_t *r) {
+static void reply_counts (store_t *s, mt_webreq_t *r) {
   char text[200];
   snprintf(text, sizeof text,
            "{\"reads\": %" PRIu64 ", \"writes\": %" PRIu64
            ", \"watches\": %" PRIu64 ", \"refused\": %" PRIu64 "}",
-           s->reads, s->writes, s->watchcalls, s->refused);
-  si_text(r, 200, "application/json", text);
+           s->reads, s->writes, s->watch_requests, s->rejected);
+  si_reply(r, 200, "application/json", text);
 }
 
-static void switches (store_t *s, mt_webreq_t *r) {
-  s->outage = si_param(r, "outage", s->outage) != 0;
-  s->limit = si_param(r, "limit", s->limit) != 0;
-  s->slow = si_param(r, "slow", s->slow);
-  s->lostack = si_param(r, "lostack", s->lostack);
-  si_text(r, 200, "text/plain", "ok");
-  sweep(s);
+static void set_faults (store_t *s, mt_webreq_t *r) {
+  s->outage = si_query_int(r, "outage", s->outage) != 0;
+  s->rate_limited = si_query_int(r, "limit", s->rate_limited) != 0;
+  s->delay_ms = si_query_int(r, "slow", s->delay_ms);
+  s->lost_acks = si_query_int(r, "lostack", s->lost_acks);
+  si_reply(r, 200, "text/plain", "ok");
+  complete_watches(s);
 }
 
-static bool overlimit (store_t *s, bool writes) {
+/* Counts the request; true when it is over the limit of this second. */
+static bool over_rate (store_t *s, bool writes) {
   uint64_t second = uv_now(s->loop) / 1000;
-  if (second != s->second) s->readsnow = s->writesnow = 0;
+  if (second != s->second) s->second_reads = s->second_writes = 0;
   s->second = second;
-  int *n = writes ? &s->writesnow : &s->readsnow;
-  return ++*n > (writes ? WRITES_PER_S : READS_PER_S) && s->limit;
+  int *n = writes ? &s->second_writes : &s->second_reads;
+  return ++*n > (writes ? WRITES_PER_S_MAX : READS_PER_S_MAX) &&
+         s->rate_limited;
 }
 
 static void serve (store_t *s, mt_webreq_t *r) {
@@ -238,85 +245,87 @@
     mtB_abort(r);
     return;
   }
-  if (si_is(r, "GET", "/kv/")) {
-    get(s, r);
-  } else if (si_is(r, "GET", "/watch/")) {
-    watch(s, r);
-  } else if (si_is(r, "POST", "/lease")) {
+  if (si_matches(r, "GET", "/kv/")) {
+    get_value(s, r);
+  } else if (si_matches(r, "GET", "/watch/")) {
+    add_watch(s, r);
+  } else if (si_matches(r, "POST", "/lease")) {
     lease(s, r);
-  } else if (si_is(r, "PUT", "/lease/")) {
+  } else if (si_matches(r, "PUT", "/lease/")) {
     keepalive(s, r);
   } else {
-    int status = si_is(r, "PUT", "/kv/") ? writevalue(s, r, &revision)
-                                         : deletevalue(s, r);
-    bool lost = s->lostack > 0 && status == 200;
-    if (lost) s->lostack--;
+    int status = si_matches(r, "PUT", "/kv/") ? put_value(s, r, &revision)
+                                              : delete_value(s, r);
+    bool lost = s->lost_acks > 0 && status == 200;
+    if (lost) s->lost_acks--;
     if (lost)
       mtB_abort(r);
     else
-      answer(r, status, revision, "", 0);
-    sweep(s);
+      reply_value(r, status, revision, "", 0);
+    complete_watches(s);
   }
 }
 
-static void onheldgone (void *ud, mt_webreq_t *r) {
+static void ondelayed_disconnect (void *ud, mt_webreq_t *r) {
   (void)r;
-  ((held_t *)ud)->r = NULL;
+  ((delayed_t *)ud)->r = NULL;
 }
 
-static void onheldclosed (uv_handle_t *h) {
+static void ondelayed_closed (uv_handle_t *h) {
   free(h->data);
 }
 
-static void onheld (uv_timer_t *t) {
-  held_t *h = t->data;
+static void ondelayed (uv_timer_t *t) {
+  delayed_t *h = t->data;
   if (h->r != NULL) {
     mtB_set_callbacks(h->r, NULL, NULL, NULL);
     serve(h->s, h->r);
   }
-  uv_close((uv_handle_t *)t, onheldclosed);
+  uv_close((uv_handle_t *)t, ondelayed_closed);
 }
 
-static void hold (store_t *s, mt_webreq_t *r) {
-  held_t *h = mtV_new(sizeof *h);
+/* Serves a request after delay_ms. */
+static void delay_request (store_t *s, mt_webreq_t *r) {
+  delayed_t *h = mtV_new(sizeof *h);
   h->r = r;
   h->s = s;
   h->timer.data = h;
   uv_timer_init(s->loop, &h->timer);
-  uv_timer_start(&h->timer, onheld, (uint64_t)s->slow, 0);
-  mtB_set_callbacks(r, h, onheldgone, NULL);
+  uv_timer_start(&h->timer, ondelayed, (uint64_t)s->delay_ms, 0);
+  mtB_set_callbacks(r, h, ondelayed_disconnect, NULL);
 }
 
 static void handle (void *ud, mt_webreq_t *r) {
   store_t *s = ud;
-  if (si_is(r, "POST", "/switch")) {
-    switches(s, r);
+  if (si_matches(r, "POST", "/switch")) {
+    set_faults(s, r);
     return;
   }
-  if (si_is(r, "GET", "/counts")) {
-    counts(s, r);
+  if (si_matches(r, "GET", "/counts")) {
+    reply_counts(s, r);
     return;
   }
-  bool watching = si_is(r, "GET", "/watch/"), reads = si_is(r, "GET", "/");
+  bool watching = si_matches(r, "GET", "/watch/"),
+       reads = si_matches(r, "GET", "/");
   if (watching)
-    s->watchcalls++;
+    s->watch_requests++;
   else if (reads)
     s->reads++;
   else
     s->writes++;
-  if (overlimit(s, !reads)) {
-    s->refused++;
-    si_text(r, 429, "text/plain", "too many calls");
-  } else if (s->slow > 0 && !watching) {
-    hold(s, r);
+  if (over_rate(s, !reads)) {
+    s->rejected++;
+    si_reply(r, 429, "text/plain", "too many calls");
+  } else if (s->delay_ms > 0 && !watching) {
+    delay_request(s, r);
   } else {
     serve(s, r);
   }
 }
 
-static void onsweep (uv_timer_t *t) {
-  sweep(t->data);
-  expire(t->data);
+static void ontick (uv_timer_t *t) {
+  complete_watches(t->data);
+  expire_leases(t->data);
 }
 
 /* }== */
@@ -325,12 +334,12 @@
   store_t *s = mtV_new(sizeof *s);
   uv_timer_t *t = mtV_new(sizeof *t);
   s->loop = loop;
-  s->limit = si_number(argc, argv, "--limit", 1) != 0;
+  s->rate_limited = si_option_int(argc, argv, "--limit", 1) != 0;
   mt_web_t *web = si_listen(
-      loop, (uint16_t)si_number(argc, argv, "--port", 0), handle, s);
+      loop, (uint16_t)si_option_int(argc, argv, "--port", 0), handle, s);
   uv_timer_init(loop, t);
   t->data = s;
-  uv_timer_start(t, onsweep, SWEEP_MS, SWEEP_MS);
+  uv_timer_start(t, ontick, TICK_MS, TICK_MS);
   printf("{\"url\": \"http://127.0.0.1:%u\"}\n", mtB_port(web));
   return 0;
 }
--- a/standin/standin.c
+++ b/standin/standin.c
@@ -1,5 +1,5 @@
 /*
-** standin.c - small stand-ins for the outside: store, engines, service, proxy
+** standin.c - command line of the simulated store, engines, service, proxy
 */
 #include <signal.h>
 #include <stdio.h>
@@ -9,31 +9,31 @@
 #include "standin.h"
 
 const char *si_option (int argc, char **argv, const char *name,
-                       const char *otherwise) {
+                       const char *def) {
   for (int i = 1; i + 1 < argc; i++)
     if (strcmp(argv[i], name) == 0) return argv[i + 1];
-  return otherwise;
+  return def;
 }
 
-long si_number (int argc, char **argv, const char *name, long otherwise) {
+long si_option_int (int argc, char **argv, const char *name, long def) {
   const char *s = si_option(argc, argv, name, NULL);
-  return s ? atol(s) : otherwise;
+  return s ? atol(s) : def;
 }
 
-long si_param (const mt_webreq_t *r, const char *name, long otherwise) {
+long si_query_int (const mt_webreq_t *r, const char *name, long def) {
   char text[32];
-  return mtB_param(r, name, text, sizeof text) ? atol(text) : otherwise;
+  return mtB_param(r, name, text, sizeof text) ? atol(text) : def;
 }
 
-bool si_is (const mt_webreq_t *r, const char *method, const char *head) {
+bool si_matches (const mt_webreq_t *r, const char *method, const char *head) {
   mt_bytes_t m = mtB_method(r), p = mtB_path(r);
   size_t n = strlen(head);
   return m.n == strlen(method) && memcmp(m.p, method, m.n) == 0 && p.n >= n &&
          memcmp(p.p, head, n) == 0;
 }
 
-void si_text (mt_webreq_t *r, int status, const char *type,
-              const char *text) {
+void si_reply (mt_webreq_t *r, int status, const char *type,
+               const char *text) {
   mt_header_t h = {"content-type", type};
   mtB_reply(r, status, &h, 1, text, strlen(text));
 }
@@ -52,12 +52,12 @@
   fprintf(
       code ? stderr : stdout,
       "Usage: standin store|engine|service|proxy [OPTION VALUE]...\n"
-      "Each prints one line of JSON with its addresses and runs until it is ended.\n"
+      "Each prints one line of JSON with its addresses and runs until it is killed.\n"
       "  store    --limit 0|1 (100 writes/s, 2000 reads/s)\n"
       "           POST /switch?outage=0|1&slow=MS&lostack=N; GET /counts\n"
       "  engine   --count N --slots N --rate TOKENS/S --speeds 1,2,4 --cache N --fenced 0|1\n"
       "           GET /stats, /load, /cache/events; POST /orders, /v1/cancel/ID\n"
-      "  service  GET /calls counts calls by their 'call' parameter\n"
+      "  service  GET /calls counts requests by their 'call' parameter\n"
       "  proxy    POST /link?to=IP:PORT; POST /set?port=P&mode=MODE&delay=MS\n"
       "           MODE: pass, cut, blackhole, halfopen, up, down\n");
   return code;
--- a/standin/standin.h
+++ b/standin/standin.h
@@ -1,5 +1,5 @@
 /*
-** standin.h - small stand-ins for the outside: store, engines, service, proxy
+** standin.h - simulated store, engines, service and proxy for tests and bench
 */
 #ifndef standin_h
 #define standin_h
@@ -9,23 +9,29 @@
 #include "mtmem.h"
 #include "mtweb.h"
 
-/* The value of an option "--name value", or `otherwise`. */
+/* The value of the option "NAME VALUE" of the command line, or `def`. */
 const char *si_option (int argc, char **argv, const char *name,
-                       const char *otherwise);
-long si_number (int argc, char **argv, const char *name, long otherwise);
+                       const char *def);
+/* The same, as an integer. */
+long si_option_int (int argc, char **argv, const char *name, long def);
 
-/* A query parameter as a number, or `otherwise`. */
-long si_param (const mt_webreq_t *r, const char *name, long otherwise);
+/* A query parameter as an integer, or `def`. */
+long si_query_int (const mt_webreq_t *r, const char *name, long def);
 
-/* True for this method and a path that begins so. */
-bool si_is (const mt_webreq_t *r, const char *method, const char *head);
+/* True for this method and a path that begins with `head`. */
+bool si_matches (const mt_webreq_t *r, const char *method, const char *head);
 
-/* Answers with a text. */
-void si_text (mt_webreq_t *r, int status, const char *type, const char *text);
+/* Replies with a text; `type` is its content type. */
+void si_reply (mt_webreq_t *r, int status, const char *type,
+               const char *text);
 
-/* Listens on a loopback address or ends the process. */
+/* Listens on 127.0.0.1, port 0 for any free one; exits when that fails. */
 mt_web_t *si_listen (uv_loop_t *loop, uint16_t port, mt_webfn_t fn, void *ud);
 
+/*
+** Each starts a stand-in on the loop with the options of the command line,
+** prints its addresses as a line of JSON and returns 0.
+*/
 int si_store (int argc, char **argv, uv_loop_t *loop);
 int si_engine (int argc, char **argv, uv_loop_t *loop);
 int si_service (int argc, char **argv, uv_loop_t *loop);
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -27,14 +27,15 @@
 
 // Starts a fleet of processes and stops it at the end of the test.
 struct TestFleet {
-  bb_lab_t *lab;
-  explicit TestFleet(bb_spec_t spec) : lab(bb_start(bin(), &spec)) {
+  bb_cluster_t *lab;
+  explicit TestFleet(bb_cluster_spec_t spec)
+      : lab(bb_start_cluster(bin(), &spec)) {
   }
   ~TestFleet() {
-    bb_stop(lab);
+    bb_stop_cluster(lab);
   }
   TestFleet(const TestFleet &) = delete;
-  bb_lab_t *operator->() const {
+  bb_cluster_t *operator->() const {
     return lab;
   }
 
@@ -48,8 +49,8 @@
     std::string h = std::string("Authorization: Bearer ") + key +
                     "\r\nContent-Type: application/json\r\n" + headers;
     char *text;
-    int status = bb_call(lab, &lab->routers[router].callers, method,
-                         path.c_str(), h.c_str(), body, &text);
+    int status = bb_request(lab, &lab->routers[router].callers, method,
+                            path.c_str(), h.c_str(), body, &text);
     Reply a{status, text};
     free(text);
     return a;
@@ -79,12 +80,12 @@
   // Injects a fault into the simulated store: outage=1, lostack=COUNT.
   void store (const char *query) {
     std::string path = std::string("/switch?") + query;
-    bb_call(lab, &lab->store, "POST", path.c_str(), nullptr, nullptr,
-            nullptr);
+    bb_request(lab, &lab->store, "POST", path.c_str(), nullptr, nullptr,
+               nullptr);
   }
   // Runs of each call at the simulated service, by name.
   json_t *calls () {
-    return bb_json(lab, &lab->service, "/calls");
+    return bb_get_json(lab, &lab->service, "/calls");
   }
   int run_count (const std::string &name) {
     json_t *c = calls();
@@ -96,14 +97,15 @@
   bool wait_until (const std::function<bool()> &cond) {
     for (int i = 0; i < 1500; i++) {
       if (cond()) return true;
-      bb_run(lab, 20);
+      bb_run_loop(lab, 20);
     }
     return false;
   }
 };
 
-bb_spec_t spec (int routers, int domains, int engines, bool proxied = false) {
-  bb_spec_t s{};
+bb_cluster_spec_t spec (int routers, int domains, int engines,
+                        bool proxied = false) {
+  bb_cluster_spec_t s{};
   s.domains = domains;
   s.routers = routers;
   s.engines = engines;
@@ -191,14 +193,14 @@
     std::set<std::string> names;
     std::vector<json_int_t> runs;
     for (size_t i = 0; i < f->nengines; i++) {
-      json_t *s = bb_json(f.lab, &f->engines[i].addr, "/stats");
+      json_t *s = bb_get_json(f.lab, &f->engines[i].addr, "/stats");
       runs.push_back(json_integer_value(json_object_get(s, "runs")));
       json_decref(s);
     }
     for (int k = 0; k < 3; k++)
       EXPECT_EQ(f.chat(router, "tokens=1").status, 200);
     for (size_t i = 0; i < f->nengines; i++) {
-      json_t *s = bb_json(f.lab, &f->engines[i].addr, "/stats");
+      json_t *s = bb_get_json(f.lab, &f->engines[i].addr, "/stats");
       if (json_integer_value(json_object_get(s, "runs")) != runs[i])
         names.insert(f->engines[i].name);
       json_decref(s);
@@ -206,7 +208,7 @@
     return names;
   };
   EXPECT_EQ(f.cli({"policy", "publish", "default", only2.c_str()}), 0);
-  ASSERT_TRUE(bb_settled(f.lab, 2, 20000));
+  ASSERT_TRUE(bb_wait_converged(f.lab, 2, 20000));
   for (size_t r = 0; r < 3; r++)
     EXPECT_EQ(engines_used(r), std::set<std::string>{"e2"});
   EXPECT_EQ(f.cli({"policy", "revise", "default", faulty.c_str(),
@@ -222,11 +224,11 @@
   EXPECT_EQ(f.cli({"policy", "revise", "default", only3.c_str(), "--replaces",
                    "2"}),
             0);
-  ASSERT_TRUE(bb_settled(f.lab, 3, 20000));
+  ASSERT_TRUE(bb_wait_converged(f.lab, 3, 20000));
   for (size_t r = 0; r < 3; r++)
     EXPECT_EQ(engines_used(r), std::set<std::string>{"e3"});
   EXPECT_EQ(f.cli({"policy", "withdraw", "default", "--replaces", "3"}), 0);
-  ASSERT_TRUE(bb_settled(f.lab, 4, 20000));
+  ASSERT_TRUE(bb_wait_converged(f.lab, 4, 20000));
   EXPECT_EQ(f.chat(0, "tokens=1").status, 200);
   EXPECT_EQ(f.cli({"policy", "list"}, &out), 0);
   EXPECT_EQ(out, "");
@@ -273,9 +275,9 @@
 TEST(Fleet, RouterLoadsConfigurationFromPeersDuringStoreOutage) {
   TestFleet f(spec(3, 3, 3));
   f.store("outage=1");
-  bb_end(f->routers[1].proc, SIGKILL);
-  bb_router(f.lab, 1);
-  EXPECT_TRUE(bb_settled(f.lab, 1, 30000));
+  bb_end_proc(f->routers[1].proc, SIGKILL);
+  bb_start_router(f.lab, 1);
+  EXPECT_TRUE(bb_wait_converged(f.lab, 1, 30000));
   EXPECT_EQ(f.chat(1, "tokens=2").status, 200);
 }
 
@@ -332,7 +334,7 @@
   size_t at = got.find("x-resume-token: ");
   ASSERT_NE(at, std::string::npos) << got;
   std::string token = got.substr(at + 16, got.find('\r', at) - at - 16);
-  bb_end(f->routers[0].proc, SIGKILL);
+  bb_end_proc(f->routers[0].proc, SIGKILL);
   close(fd);
   std::string h = "X-Resume-Token: " + token + "\r\n";
   auto r = f.call(1, "GET", "/v1/streams?from=0", h, nullptr);
@@ -363,20 +365,20 @@
 // must not take the stream, which lacks [DONE], for a complete one.
 TEST(Fleet, TruncatedEngineStreamIsNotReportedAsComplete) {
   TestFleet f(spec(1, 1, 1));
-  bb_load_t *L = bb_load(f.lab, 1);
+  bb_load_t *L = bb_start_load(f.lab, 1);
   bb_flow_t flow{};
   flow.workspace = 1;
   flow.concurrency = 4;
   flow.shorttokens = 400;
-  bb_flow(L, &flow);
-  ASSERT_TRUE(f.wait_until([&] { return bb_seen(L, 0)->tokens > 40; }));
-  bb_stopflow(L, -1);
-  bb_end(f->engines[0].proc, SIGKILL);
-  ASSERT_TRUE(bb_idle(L, 30000));
-  EXPECT_LT(bb_seen(L, 0)->tokens, 1600);
+  bb_add_flow(L, &flow);
+  ASSERT_TRUE(f.wait_until([&] { return bb_flow_stats(L, 0)->tokens > 40; }));
+  bb_stop_flow(L, -1);
+  bb_end_proc(f->engines[0].proc, SIGKILL);
+  ASSERT_TRUE(bb_wait_idle(L, 30000));
+  EXPECT_LT(bb_flow_stats(L, 0)->tokens, 1600);
   EXPECT_EQ(bb_metric(f.lab, 0, "answers_total"), 0);
   EXPECT_EQ(bb_metric(f.lab, 0, "refusals_total{reason=\"target_lost\"}"), 4);
-  bb_endload(L);
+  bb_stop_load(L);
 }
 
 // A caller that disconnects cancels its request, whether it is running at the
@@ -395,7 +397,7 @@
   }));
   for (mt_call_t *c : calls) mtY_cancel(c);
   EXPECT_TRUE(f.wait_until([&] {
-    json_t *s = bb_json(f.lab, &f->engines[0].addr, "/stats");
+    json_t *s = bb_get_json(f.lab, &f->engines[0].addr, "/stats");
     json_int_t active = json_integer_value(json_object_get(s, "active"));
     json_decref(s);
     return active == 0 && bb_metric(f.lab, 0, "requests_waiting") == 0;
@@ -433,24 +435,25 @@
 
 TEST(Fleet, DrainCompletesAllRequests) {
   TestFleet f(spec(2, 1, 1));
-  bb_load_t *L = bb_load(f.lab, 1);
+  bb_load_t *L = bb_start_load(f.lab, 1);
   bb_flow_t flow{};
   flow.workspace = 1;
   flow.concurrency = 8;
   flow.shorttokens = 150;
-  bb_flow(L, &flow);
+  bb_add_flow(L, &flow);
   ASSERT_TRUE(f.wait_until([&] {
     return bb_metric(f.lab, 0, "requests_waiting") +
                bb_metric(f.lab, 0, "requests_running") ==
            8;
   }));
-  bb_stopflow(L, -1);
-  int status = bb_end(f->routers[0].proc, SIGTERM);
+  bb_stop_flow(L, -1);
+  int status = bb_end_proc(f->routers[0].proc, SIGTERM);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-  EXPECT_TRUE(bb_idle(L, 30000));
-  EXPECT_EQ(bb_seen(L, 0)->answered, bb_seen(L, 0)->asked);
-  EXPECT_EQ(bb_seen(L, 0)->tokens, 150 * (int64_t)bb_seen(L, 0)->asked);
-  bb_endload(L);
+  EXPECT_TRUE(bb_wait_idle(L, 30000));
+  EXPECT_EQ(bb_flow_stats(L, 0)->completed, bb_flow_stats(L, 0)->asked);
+  EXPECT_EQ(bb_flow_stats(L, 0)->tokens,
+            150 * (int64_t)bb_flow_stats(L, 0)->asked);
+  bb_stop_load(L);
 }
 
 TEST(Fleet, ForgedPeerFramesAreRejectedAndCounted) {
@@ -490,11 +493,11 @@
 TEST(Fleet, PartitionedDomainServesItsRequestsAndRejoins) {
   TestFleet f(spec(2, 2, 2, true));
   auto set_links = [&] (const char *mode) {
-    bb_setlink(f.lab, bb_linkport(f.lab, 0, "r2"), mode, 0);
-    bb_setlink(f.lab, bb_linkport(f.lab, 1, "r1"), mode, 0);
-    bb_setlink(f.lab, bb_linkport(f.lab, 0, "e2"), mode, 0);
-    bb_setlink(f.lab, bb_linkport(f.lab, 1, "e1"), mode, 0);
-    bb_setlink(f.lab, bb_linkport(f.lab, 1, "store"), mode, 0);
+    bb_set_link(f.lab, bb_link_port(f.lab, 0, "r2"), mode, 0);
+    bb_set_link(f.lab, bb_link_port(f.lab, 1, "r1"), mode, 0);
+    bb_set_link(f.lab, bb_link_port(f.lab, 0, "e2"), mode, 0);
+    bb_set_link(f.lab, bb_link_port(f.lab, 1, "e1"), mode, 0);
+    bb_set_link(f.lab, bb_link_port(f.lab, 1, "store"), mode, 0);
   };
   set_links("cut");
   for (int k = 0; k < 6; k++) {
@@ -507,7 +510,7 @@
       [&] { return bb_metric(f.lab, 0, "config_revision") == 2; }));
   EXPECT_EQ(bb_metric(f.lab, 1, "config_revision"), 1);
   set_links("pass");
-  EXPECT_TRUE(bb_settled(f.lab, 2, 30000));
+  EXPECT_TRUE(bb_wait_converged(f.lab, 2, 30000));
 }
 
 } // namespace
