--- a/tests/engine_notices_test.cc
+++ b/tests/engine_notices_test.cc
@@ -192,20 +192,20 @@
 // failure domains.
 TEST(EngineNotices, DrainIsGossipedToAllRouters) {
   Fleet fleet(5);
-  ASSERT_TRUE(fleet.begins());
-  std::string engine = fleet.world.plains[0];
+  ASSERT_TRUE(fleet.wait_ready());
+  std::string engine = fleet.world.plain_engines[0];
   fleet.world.notices.leave(engine, soak::now_ms() + 3600000);
   ASSERT_TRUE(fleet.until([&] {
     fleet.ask(0, "/safe/x", "key-w1");
-    return fleet.said(0, "engine=" + engine + " outcome=says-leaving");
+    return fleet.logged(0, "engine=" + engine + " outcome=says-leaving");
   }));
   for (int i = 1; i < 5; i++)
     ASSERT_TRUE(fleet.until([&] {
-      return fleet.said(i, "engine=" + engine + " outcome=told-leaving");
+      return fleet.logged(i, "engine=" + engine + " outcome=told-leaving");
     })) << i;
-  fleet.world.arrived.clear();
+  fleet.world.engine_requests.clear();
   for (int i = 0; i < 100; i++) fleet.ask(i % 5, "/safe/x", "key-w1");
-  EXPECT_EQ(fleet.world.arrived[engine], 0);
+  EXPECT_EQ(fleet.world.engine_requests[engine], 0);
 }
 
 // }==
--- a/tests/repeats_test.cc
+++ b/tests/repeats_test.cc
@@ -28,14 +28,14 @@
 class CrashingFleet : public Fleet {
 public:
   explicit CrashingFleet(const Case &row) : Fleet(row.gateways) {
-    world.deadly.insert(CRASHING_BODY);
-    world.deadly_ms = 5;
+    world.poison_bodies.insert(CRASHING_BODY);
+    world.poison_delay_ms = 5;
     world.down_ms = 100;
     world.renews = row.renews;
   }
   // Waits until all engines listen again and every gateway gets answers.
   bool engines_serve () {
-    return until([&] { return world.all_back(); }) && until([&] {
+    return until([&] { return world.all_restarted(); }) && until([&] {
              for (size_t i = 0; i < gateways.size(); i++)
                if (ask((int)i, "/safe/x", "key-w1") != 200) return false;
              return true;
@@ -45,17 +45,17 @@
 
 void run_case (const Case &row) {
   CrashingFleet fleet(row);
-  ASSERT_TRUE(fleet.begins());
+  ASSERT_TRUE(fleet.wait_ready());
   for (int i = 0; i < 24; i++) {
-    fleet.ask_with(i % row.gateways, row.path, CRASHING_BODY);
+    fleet.post(i % row.gateways, row.path, CRASHING_BODY);
     ASSERT_TRUE(fleet.engines_serve());
   }
-  EXPECT_GE(fleet.world.ended, 1);
-  EXPECT_LE(fleet.world.ended, ENDS_TO_QUARANTINE + ENDS_TOLERATED);
+  EXPECT_GE(fleet.world.crash_count, 1);
+  EXPECT_LE(fleet.world.crash_count, ENDS_TO_QUARANTINE + ENDS_TOLERATED);
   for (int i = 0; i < row.gateways; i++) {
-    std::string in = fleet.ask_with(i, row.path, CRASHING_BODY);
+    std::string in = fleet.post(i, row.path, CRASHING_BODY);
     EXPECT_EQ(::World::status_of(in), 503) << in;
-    in = fleet.ask_with(i, row.path, "another one");
+    in = fleet.post(i, row.path, "another one");
     EXPECT_EQ(::World::status_of(in), 200) << in;
   }
 }
@@ -64,7 +64,7 @@
 // digest.
 TEST(RepeatedRequest, IsListedAndClearedByOperators) {
   CrashingFleet fleet({"", 3, "/safe/x", false});
-  ASSERT_TRUE(fleet.begins());
+  ASSERT_TRUE(fleet.wait_ready());
   std::string list;
   auto ask = [&] (int gateway, const std::string &method,
                   const std::string &path) {
@@ -73,7 +73,7 @@
         g, g.metrics, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
   };
   for (int i = 0; i < 24 && list.find("state=quarantine") == list.npos; i++) {
-    fleet.ask_with(i % 3, "/safe/x", CRASHING_BODY);
+    fleet.post(i % 3, "/safe/x", CRASHING_BODY);
     ASSERT_TRUE(fleet.engines_serve());
     list = ask(0, "GET", "/suspects");
   }
@@ -84,11 +84,11 @@
       ::World::status_of(ask(1, "DELETE", "/suspects/0000000000000002")),
       404);
   EXPECT_EQ(::World::status_of(ask(1, "DELETE", "/suspects/" + digest)), 200);
-  fleet.world.deadly.clear(); // engines no longer crash
+  fleet.world.poison_bodies.clear(); // engines no longer crash
   for (int i = 0; i < 3; i++)
     EXPECT_TRUE(fleet.until([&] {
-      return ::World::status_of(
-                 fleet.ask_with(i, "/safe/x", CRASHING_BODY)) == 200;
+      return ::World::status_of(fleet.post(i, "/safe/x", CRASHING_BODY)) ==
+             200;
     }));
 }
 
--- a/tests/soak/caller.h
+++ b/tests/soak/caller.h
@@ -1,4 +1,4 @@
-// caller.h - a caller's connection, and what it makes of an answer
+// caller.h - a caller's connection, and the parser of replies
 #ifndef tests_soak_caller_h
 #define tests_soak_caller_h
 
@@ -10,32 +10,33 @@
   Conn *conn = nullptr;
   Gateway *gateway = nullptr;
   std::string id;
-  Kind kind = Kind::Once;
+  RouteKind kind = RouteKind::Unsafe;
   bool busy = false;
-  bool repeats = false; // a harmless body that comes again and again
-  long leave_at = 0, next_at = 0;
+  // The current request has one of the harmless bodies that are sent often.
+  bool harmless_repeat = false;
+  long disconnect_at = 0, next_request_at = 0; // ms of the steady clock
 };
 
-struct Answer {
+struct Reply {
   int status = 0;
-  bool whole = false, events = false, closes = false;
+  bool complete = false, event_stream = false, connection_close = false;
   std::string seal, body, engine;
-  bool leaving = false; // its engine says so
+  bool leaving = false; // has Server-Leaving: 1
 };
 
-// As much of an answer as has come.
-Answer read_answer (const Conn &c) {
-  Answer a;
+// Parses what a connection has received so far of a reply.
+Reply parse_reply (const Conn &c) {
+  Reply a;
   size_t end = c.in.find("\r\n\r\n");
   if (end == std::string::npos) return a;
   Request head;
   head.head = c.in.substr(0, end + 2);
   a.status = atoi(c.in.c_str() + 9);
   a.seal = head.field("X-Engine-Seal");
-  a.events = head.field("Content-Type") == "text/event-stream";
+  a.event_stream = head.field("Content-Type") == "text/event-stream";
   a.engine = head.field("X-Engine");
   a.leaving = head.field("Server-Leaving") == "1";
-  a.closes = head.field("Connection") == "close";
+  a.connection_close = head.field("Connection") == "close";
   size_t at = end + 4;
   if (head.field("Transfer-Encoding") == "chunked") {
     while (true) {
@@ -43,7 +44,7 @@
       if (line == std::string::npos) return a;
       size_t size = std::stoul(c.in.substr(at, line - at), nullptr, 16);
       at = line + 2;
-      a.whole = size == 0 && c.in.size() >= at + 2;
+      a.complete = size == 0 && c.in.size() >= at + 2;
       if (size == 0) return a;
       a.body += c.in.substr(at, size);
       if (c.in.size() < at + size + 2) return a;
@@ -52,7 +53,8 @@
   }
   std::string length = head.field("Content-Length");
   a.body = c.in.substr(at);
-  a.whole = length.empty() ? c.closed : a.body.size() >= std::stoul(length);
+  a.complete =
+      length.empty() ? c.closed : a.body.size() >= std::stoul(length);
   if (!length.empty()) a.body = a.body.substr(0, std::stoul(length));
   return a;
 }
--- a/tests/soak/checker.h
+++ b/tests/soak/checker.h
@@ -1,4 +1,4 @@
-// checker.h - what callers and engines saw, held against the promises
+// checker.h - checks what callers and engines observed against the guarantees
 #ifndef tests_soak_checker_h
 #define tests_soak_checker_h
 
@@ -6,293 +6,357 @@
 #include <string>
 #include <vector>
 
-#include "touch.h"
+#include "disturbances.h"
 
 namespace soak {
 
-// From the moment when the store took it until it binds.
+// Time from a change in the store until gateways must comply with it.
 const long DRAIN_MS = 2000, EVACUATE_MS = 5000, REVOKE_MS = 5000,
            CONFIG_MS = 2000;
 
-// A request under which so many engines ended is known; how often it may
-// reach engines after that and CONTACT_MS.
-const int ENDS_KNOWN = 3, ARRIVALS_MORE = 3;
+// A request body is to be quarantined after this many engine crashes. Later
+// than CONTACT_MS after the last of them it may reach engines this many
+// times.
+const int QUARANTINE_CRASHES = 3, QUARANTINE_ARRIVALS_MAX = 3;
 
-// An engine that asked for rest gets at most so many requests from that
-// gateway, behind the first half second.
-const int RESTS_ALLOWED = 2;
-const long REST_SLACK_MS = 500;
+// Requests that a gateway may send to an engine during a backoff which that
+// engine asked it for with Retry-After; the first BACKOFF_SLACK_MS are not
+// counted.
+const int BACKOFF_REQUESTS_MAX = 2;
+const long BACKOFF_SLACK_MS = 500;
 
-// A gateway that is killed sooner may have told nobody what it learnt.
-const long TEACH_MS = 500;
+// A gateway that is disturbed within this time of learning that an engine is
+// leaving may not have propagated it to the others.
+const long PROPAGATE_MS = 500;
 
-enum class Kind { Once, Again, Stream };
+// Unsafe requests may run once at most, safe ones may be repeated; streams
+// are answered as server-sent events.
+enum class RouteKind { Unsafe, Safe, Stream };
 
-// One request of a caller, as it saw it.
-struct Asked {
-  Kind kind;
+// A request, as its caller knows it.
+struct SentRequest {
+  RouteKind kind;
   std::string workspace;
-  int runs = 0;          // engines that began it
-  bool promised = false; // refused as not run
-  int gateway = -1;      // that took it; -1: it does not matter
-  long at = 0;           // when it was sent
+  int executions = 0;    // times that an engine began to execute it
+  bool rejected = false; // its status implies that it was not executed
+  int gateway = -1;      // index of the receiver; -1: deadlines not checked
+  long at = 0;           // send time, ms
   std::string key, path;
 };
 
-// An engine as the store lists it.
-struct Listed {
+// What the store lists of an engine.
+struct EngineEntry {
   std::string service, domain;
 };
 
-// Collects breaches of promises; a caller's and an engine's view meet here.
+// Matches the observations of callers and engines by request id and collects
+// breaches of the guarantees. All times are ms of the steady clock.
 class Checker {
 public:
   std::vector<std::string> breaches;
-  std::map<std::string, Asked> asked;
-  long answers = 0, refusals = 0, failures = 0, streams = 0, cuts = 0;
-  // Late, but from gateways that are not bound; the latest of those that are.
-  long excused = 0, latest = 0;
-  Touch touch;
-  bool judges_times = true; // else breaches of times are counted alone
-  std::map<std::string, long> late;
-  std::map<std::string, Listed> engines;
-
-  void ask (const std::string &id, Kind kind, const std::string &workspace) {
-    asked[id] = {kind, workspace, 0, false, -1, 0, "", ""};
+  std::map<std::string, SentRequest> sent_requests;
+  long replies = 0, rejections = 0, failures = 0, streams = 0,
+       truncated_streams = 0;
+  // Late requests from gateways that are not accountable, and the longest
+  // delay of those from gateways that are.
+  long late_exempt = 0, late_max_ms = 0;
+  Disturbances disturbances;
+  bool check_deadlines = true;      // false: late requests are only counted
+  std::map<std::string, long> late; // number of late requests by guarantee
+  std::map<std::string, EngineEntry> engines; // by id
+
+  // A caller is about to send a request.
+  void ask (const std::string &id, RouteKind kind,
+            const std::string &workspace) {
+    sent_requests[id] = {kind, workspace, 0, false, -1, 0, "", ""};
   }
 
-  // {== What the store takes, and when
+  // {== Changes in the store and their deadlines
 
-  // Something may not be used any more: an engine, a failure domain, a key, a
-  // path, a path at a service. While the store is unstable that binds nobody.
-  void ends (const std::string &what, long now) {
-    if (touch.stable(now)) forbidden[what] = now;
+  // From now on something must not be used any more: an engine, a failure
+  // domain, an API key, a path, or a path at a service. Not recorded while
+  // the store is unstable, since no gateway is accountable then.
+  void forbid (const std::string &what, long now) {
+    if (disturbances.store_stable(now)) forbidden[what] = now;
   }
-  void again (const std::string &what) {
+  void permit (const std::string &what) {
     forbidden.erase(what);
   }
 
-  // A request is at an engine; it came no earlier than `now`.
-  void arrives (const std::string &id, const std::string &engine, long now) {
-    auto it = asked.find(id);
-    if (it == asked.end() || it->second.gateway < 0) return;
-    const Asked &a = it->second;
-    const Listed &e = engines[engine];
-    heeds_leaving(id, a, engine, now);
-    judge("DRAIN", id, a, "engine " + engine, DRAIN_MS, now);
-    judge("EVAC", id, a, "domain " + e.domain, EVACUATE_MS, now);
-    judge("REVOKE", id, a, "key " + a.key, REVOKE_MS, a.at);
-    judge("CONFIG", id, a, "path " + a.path, CONFIG_MS, a.at);
-    judge("CONFIG", id, a, "path " + a.path + " at " + e.service, CONFIG_MS,
-          a.at);
+  // An engine has received a request, no earlier than `now`. Engines and
+  // domains are judged by the time of arrival, keys and paths by the time
+  // when the caller sent the request.
+  void on_arrival (const std::string &id, const std::string &engine,
+                   long now) {
+    auto it = sent_requests.find(id);
+    if (it == sent_requests.end() || it->second.gateway < 0) return;
+    const SentRequest &a = it->second;
+    const EngineEntry &e = engines[engine];
+    check_leaving(id, a, engine, now);
+    check_deadline("DRAIN", id, a, "engine " + engine, DRAIN_MS, now);
+    check_deadline("EVAC", id, a, "domain " + e.domain, EVACUATE_MS, now);
+    check_deadline("REVOKE", id, a, "key " + a.key, REVOKE_MS, a.at);
+    check_deadline("CONFIG", id, a, "path " + a.path, CONFIG_MS, a.at);
+    check_deadline("CONFIG", id, a, "path " + a.path + " at " + e.service,
+                   CONFIG_MS, a.at);
   }
 
   // }==
 
-  // An engine begins a request.
-  void run (const std::string &id, const std::string &workspace,
-            bool has_key) {
-    auto it = asked.find(id);
-    if (it == asked.end()) {
-      breach("UNASKED", id, "no caller sent it");
+  // An engine begins to execute a request.
+  void on_execution (const std::string &id, const std::string &workspace,
+                     bool has_key) {
+    auto it = sent_requests.find(id);
+    if (it == sent_requests.end()) {
+      breach("UNASKED", id, "executed a request that no caller sent");
       return;
     }
-    Asked &a = it->second;
-    a.runs++;
-    if (workspace != a.workspace) breach("UNASKED", id, "wrong workspace");
-    if (has_key) breach("UNASKED", id, "the key was passed on");
-    if (a.kind == Kind::Once && a.runs > 1) breach("TWICE", id, "ran again");
-    if (a.kind == Kind::Once && a.promised)
-      breach("REFUSED", id, "runs after the promise that it does not");
+    SentRequest &a = it->second;
+    a.executions++;
+    if (workspace != a.workspace)
+      breach("UNASKED", id,
+             "executed for workspace \"" + workspace + "\", sent by \"" +
+                 a.workspace + "\"");
+    if (has_key)
+      breach("UNASKED", id, "the caller's API key reached the engine");
+    if (a.kind == RouteKind::Unsafe && a.executions > 1)
+      breach("TWICE", id,
+             "unsafe request executed " + std::to_string(a.executions) +
+                 " times");
+    if (a.kind == RouteKind::Unsafe && a.rejected)
+      breach("REFUSED", id,
+             "executed after it had been rejected as not executed");
   }
 
-  // A caller has a whole answer that is no stream.
-  void answered (const std::string &id, int status, const std::string &seal,
+  // A caller has received a complete reply that is not an event stream.
+  void on_reply (const std::string &id, int status, const std::string &seal,
                  const std::string &body) {
-    Asked &a = asked[id];
+    SentRequest &a = sent_requests[id];
     if (status / 100 == 2) {
-      answers++;
-      if (seal.empty()) breach("MIXED", id, "a success without a seal");
-      if (body != body_of(id)) breach("MIXED", id, "another body: " + body);
+      replies++;
+      if (seal.empty())
+        breach("MIXED", id,
+               "status " + std::to_string(status) + " without a seal");
+      if (body != body_of(id))
+        breach("MIXED", id, "unexpected body: " + body);
       return;
     }
     if (status != 503 && status != 429 && status != 408 && status != 421) {
       failures++;
       return;
     }
-    refusals++;
-    a.promised = true;
-    if (a.kind == Kind::Once && a.runs > 0)
-      breach("REFUSED", id, "it had run");
+    rejections++;
+    a.rejected = true;
+    if (a.kind == RouteKind::Unsafe && a.executions > 0)
+      breach("REFUSED", id,
+             "rejected with status " + std::to_string(status) +
+                 " after it was executed");
   }
 
-  // A caller has so much of a stream; `ended`: its end was marked.
-  void streamed (const std::string &id, const std::string &text, bool ended) {
+  // A caller has received this much of an event stream. `ended`: with the
+  // last chunk; without it the stream counts as truncated, which is no
+  // breach.
+  void on_stream (const std::string &id, const std::string &text,
+                  bool ended) {
     streams++;
     size_t at = 0;
     int next = 0;
     bool last = false;
     while (at < text.size()) {
       size_t end = text.find("\n\n", at);
-      if (end == std::string::npos) break; // the rest of a cut event
+      if (end == std::string::npos) break; // a truncated event
       std::string event = text.substr(at, end - at);
       last = event == event_of(id, next) + " end";
       if (!last && event != event_of(id, next)) {
-        breach("ORDER", id, "event " + std::to_string(next) + ": " + event);
+        breach("ORDER", id,
+               "expected event " + std::to_string(next) + ", got: " + event);
         return;
       }
       at = end + 2;
       next++;
     }
-    if (!ended) cuts++;
+    if (!ended) truncated_streams++;
     if (ended && (!last || at < text.size()))
-      breach("ORDER", id, "ends as complete after " + std::to_string(next));
+      breach("ORDER", id,
+             "stream marked as complete after " + std::to_string(next) +
+                 " events");
   }
 
-  // {== Requests under which engines end
+  // {== Requests that crash engines
 
-  // What a body has done: after ENDS_KNOWN ends and CONTACT_MS gateways in
-  // touch may send it to engines ARRIVALS_MORE times more.
-  struct Deadly {
-    int ends = 0;
-    long known = 0; // the last of the ends that make it known
-    int arrivals = 0;
+  // A request body that crashes engines. Later than CONTACT_MS after the
+  // crash number QUARANTINE_CRASHES, accountable gateways may send it to
+  // engines QUARANTINE_ARRIVALS_MAX times in all.
+  struct PoisonBody {
+    int crashes = 0;
+    long quarantined_at = 0; // time of crash QUARANTINE_CRASHES; 0: not yet
+    int arrivals = 0;        // counted once it is quarantined
   };
-  std::map<std::string, Deadly> deadly;
+  std::map<std::string, PoisonBody> poison_bodies;
 
-  void ended_under (const std::string &body, long now) {
-    Deadly &d = deadly[body];
-    if (++d.ends == ENDS_KNOWN) d.known = now;
+  void on_crash (const std::string &body, long now) {
+    PoisonBody &d = poison_bodies[body];
+    if (++d.crashes == QUARANTINE_CRASHES) d.quarantined_at = now;
   }
-  // An engine begins it; it came no earlier than `now`.
-  void begins_deadly (const std::string &id, const std::string &body,
-                      long now) {
-    Deadly &d = deadly[body];
-    auto it = asked.find(id);
-    if (d.known == 0 || now <= d.known + CONTACT_MS) return;
-    if (it != asked.end() && !touch.binds(it->second.gateway, now)) return;
-    if (++d.arrivals <= ARRIVALS_MORE) return;
+  // An engine has received such a body, no earlier than `now`.
+  void on_poison_arrival (const std::string &id, const std::string &body,
+                          long now) {
+    PoisonBody &d = poison_bodies[body];
+    auto it = sent_requests.find(id);
+    if (d.quarantined_at == 0 || now <= d.quarantined_at + CONTACT_MS) return;
+    if (it != sent_requests.end() &&
+        !disturbances.is_accountable(it->second.gateway, now))
+      return;
+    if (++d.arrivals <= QUARANTINE_ARRIVALS_MAX) return;
     late["BUDGET"]++;
-    if (judges_times)
+    if (check_deadlines)
       breach("BUDGET", id,
              "arrival " + std::to_string(d.arrivals) +
-                 " of one that had ended " + std::to_string(d.ends) +
-                 " engines");
+                 " of a body that had crashed " + std::to_string(d.crashes) +
+                 " engines, limit " +
+                 std::to_string(QUARANTINE_ARRIVALS_MAX));
   }
 
   // }==
 
-  // {== What engines say of themselves
+  // {== Server-Leaving and Retry-After in engines' replies
 
-  // The rest that an engine asked a gateway for: its requests from `from` to
-  // `until` are counted, RESTS_ALLOWED are allowed.
-  struct Rest {
+  // A backoff that an engine asked a gateway for. The gateway's requests
+  // between `from` and `until` are counted; BACKOFF_REQUESTS_MAX are allowed.
+  struct Backoff {
     long from, until;
     int arrivals;
   };
-  // When a gateway first passed on that an engine leaves.
-  struct Passed {
+  // A gateway, and when it first forwarded a reply with Server-Leaving.
+  struct LeavingSeen {
     int gateway;
     long at;
   };
-  std::map<std::pair<int, std::string>, std::vector<Rest>> rests;
-  std::map<std::pair<int, std::string>, long> passed;
-  std::map<std::string, Passed> first_passed;
-  // Later than DRAIN_MS behind the first of all, in contact or not.
-  std::vector<std::string> told_late;
-  long rests_asked = 0, rests_broken = 0, leaves_passed = 0;
-  std::map<std::string, long> refused_with_room; // by reason
-
-  void asks_rest (const std::string &id, const std::string &engine, long now,
-                  long ms) {
-    auto it = asked.find(id);
-    if (it == asked.end() || it->second.gateway < 0 || ms <= REST_SLACK_MS)
+  // By gateway and engine: the backoffs, and the time when the gateway first
+  // forwarded a reply with Server-Leaving.
+  std::map<std::pair<int, std::string>, std::vector<Backoff>> backoffs;
+  std::map<std::pair<int, std::string>, long> leaving_seen;
+  // By engine: the first of all gateways that forwarded such a reply.
+  std::map<std::string, LeavingSeen> first_leaving_seen;
+  // Requests that arrived more than DRAIN_MS after that, whether or not the
+  // gateways were in contact.
+  std::vector<std::string> late_after_first;
+  long backoffs_requested = 0, backoffs_violated = 0, leaving_replies = 0;
+  std::map<std::string, long> rejected_with_capacity; // by reply body
+
+  // An engine rejects a request with a Retry-After of `ms`. Backoffs within
+  // BACKOFF_SLACK_MS are not recorded.
+  void on_backoff_request (const std::string &id, const std::string &engine,
+                           long now, long ms) {
+    auto it = sent_requests.find(id);
+    if (it == sent_requests.end() || it->second.gateway < 0 ||
+        ms <= BACKOFF_SLACK_MS)
       return;
-    rests_asked++;
-    rests[{it->second.gateway, engine}].push_back(
-        {now + REST_SLACK_MS, now + ms, 0});
+    backoffs_requested++;
+    backoffs[{it->second.gateway, engine}].push_back(
+        {now + BACKOFF_SLACK_MS, now + ms, 0});
   }
-  // A caller has the head of an answer in which the engine says that it
-  // leaves.
-  void passes_on (int gateway, const std::string &engine, long now) {
-    if (passed.insert({{gateway, engine}, now}).second) leaves_passed++;
-    first_passed.insert({engine, {gateway, now}});
+  // A caller has received the header of a reply with Server-Leaving.
+  void on_leaving_reply (int gateway, const std::string &engine, long now) {
+    if (leaving_seen.insert({{gateway, engine}, now}).second)
+      leaving_replies++;
+    first_leaving_seen.insert({engine, {gateway, now}});
   }
-  // It has started again under its id: that it leaves held for the start that
-  // said so.
-  void starts_again (const std::string &engine) {
-    first_passed.erase(engine);
-    for (auto it = passed.begin(); it != passed.end();)
-      it = it->first.second == engine ? passed.erase(it) : std::next(it);
+  // An engine has restarted under the same id. Server-Leaving holds only for
+  // the incarnation that sent it.
+  void on_engine_restart (const std::string &engine) {
+    first_leaving_seen.erase(engine);
+    for (auto it = leaving_seen.begin(); it != leaving_seen.end();)
+      it =
+          it->first.second == engine ? leaving_seen.erase(it) : std::next(it);
   }
-  // A request came no earlier than `since`, and no later than `now`.
-  void heeds_rest (const std::string &id, const Asked &a,
-                   const std::string &engine, long since, long now) {
-    for (Rest &rest : rests[{a.gateway, engine}]) {
-      if (since <= rest.from || now >= rest.until) continue;
-      if (touch.was_disturbed(a.gateway, rest.from - REST_SLACK_MS)) continue;
-      if (++rest.arrivals != RESTS_ALLOWED + 1) continue;
-      rests_broken++;
+  // Counts a request during a backoff. It arrived between `since` and `now`;
+  // one that may have arrived outside the backoff is not counted, nor one
+  // from a gateway that was disturbed since the backoff began.
+  void check_backoff (const std::string &id, const SentRequest &a,
+                      const std::string &engine, long since, long now) {
+    for (Backoff &backoff : backoffs[{a.gateway, engine}]) {
+      if (since <= backoff.from || now >= backoff.until) continue;
+      if (disturbances.was_disturbed(a.gateway,
+                                     backoff.from - BACKOFF_SLACK_MS))
+        continue;
+      if (++backoff.arrivals != BACKOFF_REQUESTS_MAX + 1) continue;
+      backoffs_violated++;
       late["REST"]++;
-      if (judges_times)
+      if (check_deadlines)
         breach("REST", id,
                "engine " + engine + " from g" + std::to_string(a.gateway) +
-                   " wanted rest");
+                   ": more than " + std::to_string(BACKOFF_REQUESTS_MAX) +
+                   " requests during its backoff");
     }
   }
-  void heeds_leaving (const std::string &id, const Asked &a,
+  // Checks a request that arrived no earlier than `since` at an engine that
+  // may have sent Server-Leaving. SAID: it was sent more than DRAIN_MS after
+  // its own gateway had forwarded that. TOLD: it arrived more than DRAIN_MS
+  // after the first of all gateways had, and both gateways are in contact.
+  void check_leaving (const std::string &id, const SentRequest &a,
                       const std::string &engine, long since) {
-    auto own = passed.find({a.gateway, engine});
-    if (own != passed.end() && a.at > own->second + DRAIN_MS &&
-        !touch.was_disturbed(a.gateway, own->second))
-      late_leaving("SAID", id, a, engine, a.at - own->second);
-    auto first = first_passed.find(engine);
-    if (first == first_passed.end()) return;
-    const Passed &by = first->second;
+    auto own = leaving_seen.find({a.gateway, engine});
+    if (own != leaving_seen.end() && a.at > own->second + DRAIN_MS &&
+        !disturbances.was_disturbed(a.gateway, own->second))
+      record_late_leaving("SAID", id, a, engine, a.at - own->second);
+    auto first = first_leaving_seen.find(engine);
+    if (first == first_leaving_seen.end()) return;
+    const LeavingSeen &by = first->second;
     if (since > by.at + DRAIN_MS) {
-      told_late.push_back(engine + " from g" + std::to_string(a.gateway) +
-                          ", " + std::to_string(since - by.at) +
-                          " ms behind g" + std::to_string(by.gateway));
+      late_after_first.push_back(engine + " from g" +
+                                 std::to_string(a.gateway) + ", " +
+                                 std::to_string(since - by.at) +
+                                 " ms after g" + std::to_string(by.gateway));
     }
-    bool taught = !touch.was_disturbed(by.gateway, by.at, by.at + TEACH_MS);
-    if (!taught || since <= by.at + DRAIN_MS) return;
-    if (touch.in_contact(a.gateway, since) &&
-        touch.in_contact(by.gateway, since))
-      late_leaving("TOLD", id, a, engine, since - by.at);
+    bool propagated =
+        !disturbances.was_disturbed(by.gateway, by.at, by.at + PROPAGATE_MS);
+    if (!propagated || since <= by.at + DRAIN_MS) return;
+    if (disturbances.in_contact(a.gateway, since) &&
+        disturbances.in_contact(by.gateway, since))
+      record_late_leaving("TOLD", id, a, engine, since - by.at);
   }
-  void late_leaving (const char *promise, const std::string &id,
-                     const Asked &a, const std::string &engine, long ms) {
-    late[promise]++;
-    latest = std::max(latest, ms);
-    if (judges_times)
-      breach(promise, id,
+  void record_late_leaving (const char *guarantee, const std::string &id,
+                            const SentRequest &a, const std::string &engine,
+                            long ms) {
+    late[guarantee]++;
+    late_max_ms = std::max(late_max_ms, ms);
+    if (check_deadlines)
+      breach(guarantee, id,
              "engine " + engine + " from g" + std::to_string(a.gateway) +
-                 ", " + std::to_string(ms) + " ms after");
+                 ", " + std::to_string(ms) +
+                 " ms after Server-Leaving, limit " +
+                 std::to_string(DRAIN_MS) + " ms");
   }
 
   // }==
 
-  void judge (const char *promise, const std::string &id, const Asked &a,
-              const std::string &what, long bound, long now) {
+  // Checks the use of `what` at `now` against its deadline, `bound` ms after
+  // it was forbidden.
+  void check_deadline (const char *guarantee, const std::string &id,
+                       const SentRequest &a, const std::string &what,
+                       long bound, long now) {
     auto it = forbidden.find(what);
     if (it == forbidden.end() || now - it->second <= bound) return;
-    if (!touch.binds(a.gateway, now)) {
-      excused++;
+    if (!disturbances.is_accountable(a.gateway, now)) {
+      late_exempt++;
       return;
     }
-    late[promise]++;
-    latest = std::max(latest, now - it->second);
-    if (judges_times)
-      breach(promise, id,
+    late[guarantee]++;
+    late_max_ms = std::max(late_max_ms, now - it->second);
+    if (check_deadlines)
+      breach(guarantee, id,
              what + " from g" + std::to_string(a.gateway) + ", " +
-                 std::to_string(now - it->second) + " ms after");
+                 std::to_string(now - it->second) +
+                 " ms after the change in the store, limit " +
+                 std::to_string(bound) + " ms");
   }
-  void breach (const std::string &promise, const std::string &id,
+  void breach (const std::string &guarantee, const std::string &id,
                const std::string &what) {
-    breaches.push_back(promise + " " + id + ": " + what);
+    breaches.push_back(guarantee + " " + id + ": " + what);
   }
 
-  std::map<std::string, long> forbidden; // what, and when the store took it
+  std::map<std::string, long> forbidden; // what -> since when
 
   static std::string body_of (const std::string &id) {
     return "answer to " + id + " and to nobody else";
--- a/tests/soak/datagrams.c
+++ b/tests/soak/datagrams.c
@@ -1,6 +1,6 @@
 /*
-** datagrams.c - loses and delays a gateway's datagrams, as the soak says, and
-** takes from its steady clock what its machine slept
+** datagrams.c - interposes sendmsg and clock_gettime in a gateway: drops and
+** delays its datagrams, and subtracts suspensions from its steady clock
 */
 #include <arpa/inet.h>
 #include <dlfcn.h>
@@ -18,26 +18,27 @@
 
 #define BYTES_MAX 16384
 #define QUEUE_MAX 64
-#define FIRST_ADDRESS 0x7f000101u /* of the gateway with index 0 */
+#define FIRST_ADDRESS 0x7f000101u /* 127.0.1.1, the gateway with index 0 */
 
-/* A datagram that is sent later, with whatever is sent then. */
-typedef struct held_t {
+/* A delayed datagram. It leaves with the first datagram that the gateway
+   sends to another one at or after `due`, in ms of the steady clock. */
+typedef struct delayed_t {
   struct sockaddr_in to;
   size_t size;
   long due;
   char bytes[BYTES_MAX];
-} held_t;
+} delayed_t;
 
 static const mt_soak_links_t *links;
 static int own_index;
-static held_t queue[QUEUE_MAX];
+static delayed_t queue[QUEUE_MAX];
 static size_t queued;
 
 static void open_links (void) __attribute__((constructor));
 
 static void open_links (void) {
-  const char *file = getenv(MT_SOAK_LINKS_FILE);
-  const char *index = getenv(MT_SOAK_LINKS_INDEX);
+  const char *file = getenv(MT_SOAK_LINKS_ENV);
+  const char *index = getenv(MT_SOAK_INDEX_ENV);
   if (file == NULL || index == NULL) return;
   int fd = open(file, O_RDONLY | O_CLOEXEC);
   if (fd < 0) return;
@@ -54,41 +55,43 @@
   return ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* The link that a message goes by; NULL: it goes to no gateway. */
+/* The link from this gateway to the message's destination; NULL if that is no
+   gateway. */
 static const mt_soak_link_t *link_of (const struct msghdr *msg) {
   const struct sockaddr_in *to = msg->msg_name;
   if (links == NULL || to == NULL || msg->msg_namelen < sizeof *to)
     return NULL;
   uint32_t index = ntohl(to->sin_addr.s_addr) - FIRST_ADDRESS;
-  if (to->sin_family != AF_INET || index >= MT_SOAK_GATEWAYS) return NULL;
+  if (to->sin_family != AF_INET || index >= MT_SOAK_GATEWAYS_MAX) return NULL;
   return &links->link[own_index][index];
 }
 
+/* Sends the delayed datagrams that are due, or all of them. */
 static void send_due (int fd, bool all) {
   size_t left = 0;
   for (size_t i = 0; i < queued; i++) {
-    held_t *held = &queue[i];
-    if (all || now_ms() >= held->due)
-      sendto(fd, held->bytes, held->size, MSG_DONTWAIT,
-             (const struct sockaddr *)&held->to, sizeof held->to);
+    delayed_t *delayed = &queue[i];
+    if (all || now_ms() >= delayed->due)
+      sendto(fd, delayed->bytes, delayed->size, MSG_DONTWAIT,
+             (const struct sockaddr *)&delayed->to, sizeof delayed->to);
     else if (left++ != i)
-      queue[left - 1] = *held;
+      queue[left - 1] = *delayed;
   }
   queued = left;
 }
 
-static ssize_t hold (const struct msghdr *msg, long delay) {
-  held_t *held = &queue[queued++];
-  held->to = *(const struct sockaddr_in *)msg->msg_name;
-  held->due = now_ms() + delay;
-  held->size = 0;
+static ssize_t enqueue (const struct msghdr *msg, long delay) {
+  delayed_t *delayed = &queue[queued++];
+  delayed->to = *(const struct sockaddr_in *)msg->msg_name;
+  delayed->due = now_ms() + delay;
+  delayed->size = 0;
   for (size_t i = 0; i < msg->msg_iovlen; i++) {
     size_t n = msg->msg_iov[i].iov_len;
-    if (n > BYTES_MAX - held->size) n = BYTES_MAX - held->size;
-    memcpy(held->bytes + held->size, msg->msg_iov[i].iov_base, n);
-    held->size += n;
+    if (n > BYTES_MAX - delayed->size) n = BYTES_MAX - delayed->size;
+    memcpy(delayed->bytes + delayed->size, msg->msg_iov[i].iov_base, n);
+    delayed->size += n;
   }
-  return (ssize_t)held->size;
+  return (ssize_t)delayed->size;
 }
 
 static ssize_t size_of (const struct msghdr *msg) {
@@ -107,13 +110,13 @@
   const mt_soak_link_t *link = link_of(msg);
   if (link == NULL) return next(fd, msg, flags);
   send_due(fd, queued == QUEUE_MAX);
-  if (random() % 1000 < link->lost) return size_of(msg);
-  if (link->delay_ms > 0) return hold(msg, link->delay_ms);
+  if (random() % 1000 < link->loss_permille) return size_of(msg);
+  if (link->delay_ms > 0) return enqueue(msg, link->delay_ms);
   return next(fd, msg, flags);
 }
 
-/* A machine that was suspended: the process stood still as long, and of its
-   clocks the steady one did, too. */
+/* Simulates a box that was suspended: its steady clock did not advance during
+   the suspension, while the process was stopped. */
 int clock_gettime (clockid_t id, struct timespec *ts) {
   static int (*next)(clockid_t, struct timespec *);
   if (next == NULL) {
@@ -125,7 +128,7 @@
                 id == CLOCK_MONOTONIC_RAW;
   if (links == NULL || !steady || result != 0) return result;
   int64_t ns = (int64_t)ts->tv_sec * 1000000000 + ts->tv_nsec -
-               (int64_t)links->slept_ms[own_index] * 1000000;
+               (int64_t)links->suspended_ms[own_index] * 1000000;
   ts->tv_sec = ns / 1000000000;
   ts->tv_nsec = ns % 1000000000;
   return 0;
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -1,4 +1,4 @@
-// fleet.h - gateways as processes, for tests that steer them one by one
+// fleet.h - a fleet of gateway processes for tests that control each of them
 #ifndef tests_soak_fleet_h
 #define tests_soak_fleet_h
 
@@ -8,7 +8,8 @@
 
 namespace soak {
 
-// Some gateways before one world; the store has an address for each of them.
+// Gateways that share one World; the store listens at an address of its own
+// for each of them, so that it can reject the calls of one.
 class Fleet {
 public:
   World world;
@@ -42,7 +43,9 @@
     }
     return false;
   }
-  bool said (int gateway, const std::string &line) const {
+  // True if a line of the gateway's log has the blank-separated words of
+  // `line` in this order.
+  bool logged (int gateway, const std::string &line) const {
     std::ifstream in(gateways[(size_t)gateway].log);
     for (std::string text; std::getline(in, text);) {
       size_t at = 0;
@@ -53,41 +56,46 @@
     }
     return false;
   }
-  bool all_said (const std::string &line) {
+  bool all_logged (const std::string &line) {
     return until([&] {
       for (size_t i = 0; i < gateways.size(); i++)
-        if (!said((int)i, line)) return false;
+        if (!logged((int)i, line)) return false;
       return true;
     });
   }
-  // Every gateway serves, knows of all the others and of the engines.
-  bool begins () {
+  // Waits until every gateway serves, has discovered all the others, and has
+  // the engines in its catalog.
+  bool wait_ready () {
     for (Gateway &g : gateways) {
       if (!until([&] {
             g.find_port();
             return g.port != 0;
           }))
         return false;
-      if (!until([&] { return routers(g) == (int)gateways.size(); }))
+      if (!until([&] { return known_routers(g) == (int)gateways.size(); }))
         return false;
     }
-    return all_said("engine=" + world.plains[0] + " outcome=ready") &&
-           all_said("engine=" + world.engine_last() + " outcome=ready");
+    return all_logged("engine=" + world.plain_engines[0] +
+                      " outcome=ready") &&
+           all_logged("engine=" + world.last_engine() + " outcome=ready");
   }
-  // How many it knows of, as its metrics say.
-  int routers (Gateway &g) {
+  // The number of gateways that this one knows, itself included, by its
+  // metrics.
+  int known_routers (Gateway &g) {
     const std::string name = "\nmartentiller_gateway_routers ";
     std::string text =
         exchange(g, g.metrics, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
     size_t at = text.find(name);
     return at == text.npos ? 0 : atoi(text.c_str() + at + name.size());
   }
-  void turn_away (int gateway, int kind) {
-    world.refusals[(size_t)gateway] = {now_ms() + 3600000, kind};
+  // From now on the store fails all calls of this gateway. `kind` as in
+  // Rejection.
+  void reject_store_calls (int gateway, int kind) {
+    world.rejections[(size_t)gateway] = {now_ms() + 3600000, kind};
   }
-  // Both watchers of the first gateway's failure domain know that the engines
-  // have not changed up to the source's revision.
-  bool watchers_go_on () {
+  // Waits until two gateways of the first gateway's failure domain, other
+  // than itself, watch the engines from the store's current revision on.
+  bool watchers_caught_up () {
     return until([&] {
       int count = 0;
       for (const World::Watch &w : world.watches)
@@ -96,24 +104,26 @@
       return count >= 2;
     });
   }
-  // An answer to a request with this body; empty: the connection ended.
-  std::string ask_with (int gateway, const std::string &path,
-                        const std::string &body) {
-    std::string id = "id" + std::to_string(++asked);
+  // Sends a request with this body; returns the raw reply, empty if the
+  // connection ended without one.
+  std::string post (int gateway, const std::string &path,
+                    const std::string &body) {
+    std::string id = "id" + std::to_string(++sent_requests);
     Gateway &g = gateways[(size_t)gateway];
-    world.checker.ask(id, Kind::Again, "w1");
+    world.checker.ask(id, RouteKind::Safe, "w1");
     return exchange(g, g.port, ::World::ask(path, id, body));
   }
-  // The status of an answer to a request that a caller sends.
+  // Sends a request without a body; returns the status of the reply.
   int ask (int gateway, const std::string &path, const std::string &key,
            const std::string &workspace = "w1") {
-    std::string id = "id" + std::to_string(++asked);
+    std::string id = "id" + std::to_string(++sent_requests);
     Gateway &g = gateways[(size_t)gateway];
-    world.checker.ask(id, Kind::Again, workspace);
+    world.checker.ask(id, RouteKind::Safe, workspace);
     return ::World::status_of(
         exchange(g, g.port, ::World::ask(path, id, "", "", key)));
   }
-  // A whole exchange with a gateway; empty: it took no connection.
+  // Sends `text` on a new connection and returns all that is received until
+  // the reply is complete or the connection closed; empty if refused.
   std::string exchange (const Gateway &g, int port, const std::string &text) {
     sockaddr_in a = loopback(port);
     inet_pton(AF_INET, g.ip().c_str(), &a.sin_addr);
@@ -133,7 +143,7 @@
 
 private:
   std::string dir;
-  int asked = 0;
+  int sent_requests = 0;
 };
 
 } // namespace soak
--- a/tests/soak/network.h
+++ b/tests/soak/network.h
@@ -1,4 +1,4 @@
-// network.h - what becomes of datagrams between gateways
+// network.h - drops and delays datagrams between gateways
 #ifndef tests_soak_network_h
 #define tests_soak_network_h
 
@@ -14,7 +14,8 @@
 
 namespace soak {
 
-// A file that the gateways' processes map; datagrams.c reads it there.
+// The file that controls the links between gateways. Each gateway's process
+// maps it, and datagrams.c reads it there.
 class Network {
 public:
   explicit Network(const std::string &path) : file(path) {
@@ -30,27 +31,29 @@
   }
   Network(const Network &) = delete;
 
-  // Of 1,000 datagrams so many are lost, the others come so much later.
+  // Of 1,000 datagrams `lost` are dropped, the others arrive `delay_ms`
+  // later.
   void set (int from, int to, unsigned lost, unsigned delay_ms) {
     links->link[from][to] = {(uint16_t)lost, (uint16_t)delay_ms};
   }
-  // A gateway's machine was suspended for so long.
-  void slept (int gateway, unsigned ms) {
-    links->slept_ms[gateway] += ms;
+  // A gateway's box was suspended for `ms`; its steady clock leaves that out.
+  void add_suspension (int gateway, unsigned ms) {
+    links->suspended_ms[gateway] += ms;
   }
   void heal () {
     for (auto &row : links->link)
       for (mt_soak_link_t &link : row) link = {0, 0};
   }
 
-  // In the process of a gateway, before its program begins.
-  static void enter (const std::string &path, int index) {
+  // Loads datagrams.c into a gateway: sets the environment in the forked
+  // process, before exec.
+  static void set_child_environment (const std::string &path, int index) {
     const char *bin = getenv("MT_BIN");
     std::string library =
         std::string(bin ? bin : "build") + "/soak-datagrams.so";
     setenv("LD_PRELOAD", library.c_str(), 1);
-    setenv(MT_SOAK_LINKS_FILE, path.c_str(), 1);
-    setenv(MT_SOAK_LINKS_INDEX, std::to_string(index).c_str(), 1);
+    setenv(MT_SOAK_LINKS_ENV, path.c_str(), 1);
+    setenv(MT_SOAK_INDEX_ENV, std::to_string(index).c_str(), 1);
     const char *asan = getenv("ASAN_OPTIONS");
     std::string options = asan ? std::string(asan) + ":" : "";
     setenv("ASAN_OPTIONS", (options + "verify_asan_link_order=0").c_str(), 1);
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -1,11 +1,11 @@
-// soak.cc - real gateways under faults from outside, for as long as asked
+// soak.cc - runs gateways under injected external faults for a given time
 //
-// Gateways run as processes of their own; this program plays their store,
-// their engines and their callers, and delays, resets, cuts or silences its
-// own ends of the connections. Gateways are killed, paused and stopped by
-// signals. What callers and engines see is held against the promises while it
-// runs. The same seed draws the same faults; their moments vary with the
-// machine.
+// Each gateway is a process of its own. This program plays their store, their
+// engines and their callers; it delays, resets, truncates or withholds data
+// at its ends of the connections, and kills, pauses and stops gateways by
+// signals. The checker compares what callers and engines observe with the
+// guarantees while it runs. The seed sets all random generators; faults and
+// callers share one of them, so runs with the same seed differ with timing.
 #include <memory>
 
 #include "caller.h"
@@ -13,29 +13,35 @@
 
 namespace soak {
 
+// How long check_recovery() retries each gateway.
 const long RECOVER_MS = 30000;
-const long PARTS_REST_MS = 1500; // longer between troubles of them all
-const long GRACE_MS = 8000;      // as in the gateways' settings
+// With partial faults, the added time between faults of the whole fleet.
+const long PARTIAL_FAULTS_PAUSE_MS = 1500;
+const long GRACE_MS = 8000; // as in the gateways' settings
 const long RESTORE_FIRST_MS = 6000;
-const long LEAVINGS_MS = 2500; // engines leave for so long behind a restore
-const size_t LIST_PAGE = 4;    // items of an answer, with restores
-const int BODIES = 3;          // that come again and again, of each sort
+// How long engines are drained after a restore.
+const long LEAVING_PERIOD_MS = 2500;
+// Items in a reply to a list, in runs with restores.
+const size_t LIST_PAGE_ITEMS = 4;
+// Number of poison bodies, and of harmless bodies that are sent often.
+const int REPEATED_BODIES = 3;
 
 struct Options {
   unsigned seed = 1;
   int seconds = 10, gateways = 4, callers = 12;
   std::string seeds_file;
-  bool parts = false;    // troubles of a part of the gateways
-  bool kills = true;     // gateways are killed, paused and stopped
-  bool keep = false;     // the logs, also of a run without breaches
-  bool calm = false;     // no trouble but that of engines that end
-  bool times = false;    // late requests are breaches, not only counted
-  bool deadly = false;   // engines end under some bodies that come again
-  bool ends = false;     // engines end by themselves, each second one
-  bool streams = false;  // of the two above: at the model's engines
-  bool notices = false;  // engines say that they leave, and ask for rest
-  bool all_rest = false; // the same, most of the time all of a service
-  bool restores = false; // the store comes back from copies
+  bool partial_faults = false; // --parts: faults of some of the gateways
+  bool kills = true;           // gateways are killed, paused and stopped
+  bool keep = false;           // keep the logs of a run without breaches
+  bool calm = false;           // omit inject_fault()
+  // --times: late requests are breaches; otherwise they are only counted.
+  bool check_times = false;
+  bool poison_bodies = false; // --deadly: some bodies crash engines
+  bool crashes = false;       // --ends: one engine crashes each second
+  bool streams = false;     // the two above use streams of the model service
+  bool notices = false;     // engines send Server-Leaving and Retry-After
+  bool all_backoff = false; // --all-rest: often all engines of a service shed
+  bool restores = false;    // the store is restored from copies
 };
 
 // {== The soak =============================================================
@@ -43,13 +49,14 @@
 class Soak {
 public:
   Soak(const Options &chosen)
-      : options(chosen), world(chosen.seed, chosen.gateways, chosen.parts),
-        random(chosen.seed * 7919), more(chosen.seed * 104729),
-        choices(chosen.seed * 15485863) {
+      : options(chosen),
+        world(chosen.seed, chosen.gateways, chosen.partial_faults),
+        random(chosen.seed * 7919), partial_random(chosen.seed * 104729),
+        caller_random(chosen.seed * 15485863) {
     char name[] = "/tmp/mt-soak-XXXXXX";
     dir = mkdtemp(name);
     network.reset(new Network(dir + "/links"));
-    world.checker.judges_times = options.times;
+    world.checker.check_deadlines = options.check_times;
     peers = free_datagram_port();
     gateways.resize((size_t)options.gateways);
     for (int i = 0; i < options.gateways; i++) {
@@ -58,12 +65,12 @@
       start(gateways[(size_t)i]);
     }
     callers.resize((size_t)options.callers);
-    for (int i = 0; options.deadly && i < BODIES; i++)
-      world.deadly.insert(body_of(true, i));
-    if (options.ends) world.down_ms = 1500;
-    world.random_of_notices.seed(chosen.seed * 32452843);
-    of_restores.seed(chosen.seed * 86028121);
-    if (options.restores) world.page = LIST_PAGE;
+    for (int i = 0; options.poison_bodies && i < REPEATED_BODIES; i++)
+      world.poison_bodies.insert(body_of(true, i));
+    if (options.crashes) world.down_ms = 1500;
+    world.notice_random.seed(chosen.seed * 32452843);
+    restore_random.seed(chosen.seed * 86028121);
+    if (options.restores) world.page = LIST_PAGE_ITEMS;
   }
   ~Soak() {
     for (Gateway &g : gateways) {
@@ -73,39 +80,38 @@
     }
   }
 
-  // True when no promise was broken.
+  // True if no guarantee was broken.
   bool run () {
     await_ports();
     long end = now_ms() + options.seconds * 1000L,
-         next_fault = now_ms() + 500, next_part = next_fault,
-         next_end = next_fault, next_notice = next_fault,
+         next_fault = now_ms() + 500, next_partial = next_fault,
+         next_crash = next_fault, next_notice = next_fault,
          next_restore = now_ms() + RESTORE_FIRST_MS, next_change = next_fault;
     while (now_ms() < end) {
       if (!options.calm && now_ms() >= next_fault) {
-        fault();
+        inject_fault();
         next_fault = now_ms() + 50 + (long)(random() % 500);
-        if (options.parts) next_fault += PARTS_REST_MS;
+        if (options.partial_faults) next_fault += PARTIAL_FAULTS_PAUSE_MS;
       }
-      if (options.parts && now_ms() >= next_part) {
-        part_fault();
-        next_part = now_ms() + 50 + (long)(more() % 500);
+      if (options.partial_faults && now_ms() >= next_partial) {
+        inject_partial_fault();
+        next_partial = now_ms() + 50 + (long)(partial_random() % 500);
       }
       if (options.notices && now_ms() >= next_notice) {
-        notice();
-        next_notice =
-            now_ms() + 300 + (long)(world.random_of_notices() % 800);
+        inject_notice();
+        next_notice = now_ms() + 300 + (long)(world.notice_random() % 800);
       }
       if (options.restores && now_ms() >= next_restore)
         next_restore = now_ms() + restore();
       if (options.restores && now_ms() >= next_change)
-        next_change = now_ms() + change();
-      if (options.ends && now_ms() >= next_end) {
-        world.end_any(options.streams ? "model" : "plain", choices);
-        next_end = now_ms() + 1000;
+        next_change = now_ms() + apply_changes();
+      if (options.crashes && now_ms() >= next_crash) {
+        world.crash_any(options.streams ? "model" : "plain", caller_random);
+        next_crash = now_ms() + 1000;
       }
-      turn(true);
+      step(true);
     }
-    calm();
+    check_recovery();
     report();
     return world.checker.breaches.empty();
   }
@@ -113,23 +119,28 @@
 private:
   Options options;
   World world;
-  Random random, more; // of the troubles, of those of a part
-  Random choices;      // of callers, beyond what the first draws
-  Random of_restores;
-  long restored_at = 0; // 0: it never was
+  // Separate generators, so that an option does not change what the others
+  // draw. random: faults of the fleet, and callers; partial_random: partial
+  // faults; caller_random: draws for callers that options add, suspensions
+  // and crashes; restore_random: restores and the changes between them.
+  Random random, partial_random;
+  Random caller_random;
+  Random restore_random;
+  long restored_at = 0; // 0: never
   std::unique_ptr<Network> network;
-  long network_until = 0;
+  long network_until = 0; // end of the faults of the network; 0: none
   std::string dir;
   int peers;
   std::vector<Gateway> gateways;
   std::vector<Caller> callers;
-  long asked = 0, kills = 0, pauses = 0, stops = 0;
-  long repeated = 0, repeated_well = 0; // harmless ones; those answered 200
+  long sent_requests = 0, kills = 0, pauses = 0, stops = 0;
+  // Harmless repeats, and those of them with status 200.
+  long repeated = 0, repeated_ok = 0;
 
   void start (Gateway &g) {
-    world.checker.touch.disturbed(g.index, now_ms());
+    world.checker.disturbances.disturb(g.index, now_ms());
     g.start(peers, world.stores[(size_t)g.index]->port, options.gateways,
-            options.parts ? network->file : "");
+            options.partial_faults ? network->file : "");
   }
   void await_ports () {
     for (int i = 0; i < 5000; i++) {
@@ -145,125 +156,135 @@
 
   // {== Faults
 
-  void fault () {
+  void inject_fault () {
     Gateway &g = gateways[random() % gateways.size()];
     long now = now_ms();
     unsigned kind = random() % 9;
     if (!options.kills && (kind < 3 || kind == 8)) return;
-    if (options.parts && kind == 3) return; // part_fault has its own
+    // inject_partial_fault() makes the store fail instead.
+    if (options.partial_faults && kind == 3) return;
     switch (kind) {
       case 0: kill_one(g); break;
       case 1: pause(g, 100 + (long)(random() % 1500)); break;
       case 2: stop(g); break;
       case 3: {
         int how = (int)(random() % 4);
-        store_away(how, 200 + (long)(random() % 3000));
+        fail_store(how, 200 + (long)(random() % 3000));
         break;
       }
       case 4:
       case 5:
-        world.trouble.engine_part =
+        world.faults.engine_fraction =
             0.05 + 0.3 * (double)(random() % 100) / 100;
-        world.trouble.engines_until = now + 300 + (long)(random() % 2000);
+        world.faults.engines_until = now + 300 + (long)(random() % 2000);
         break;
       case 6: world.replace_engine(); break;
       case 7: world.configure(); break;
-      default: // many at once
+      default: // many gateways at once
         for (Gateway &other : gateways)
           if (chance(random, 0.4)) kill_one(other);
         break;
     }
   }
-  // Troubles of some gateways beside the others, and changes among them.
-  // What excuses late requests is rare, so that there are times to judge.
-  void part_fault () {
-    unsigned kind = more() % 40;
+  // Injects a fault of some of the gateways, or publishes a change that they
+  // have to comply with. Faults that exempt gateways from deadlines are rare,
+  // so that enough requests are checked.
+  void inject_partial_fault () {
+    unsigned kind = partial_random() % 40;
     switch (kind) {
       case 0:
-        store_away((int)(more() % 4), 200 + (long)(more() % 3000));
+        fail_store((int)(partial_random() % 4),
+                   200 + (long)(partial_random() % 3000));
         break;
-      case 1: spoil_network(); break;
-      case 2: cut_domain(200 + (long)(more() % 4000)); break;
+      case 1: degrade_network(); break;
+      case 2: partition_domain(200 + (long)(partial_random() % 4000)); break;
       case 3: world.retire_any(true, world.random); break;
       case 4:
       case 5: world.evacuate("d2"); break;
       default:
         if (kind < 14)
-          turn_away(0.35, (int)(more() % 3), 200 + (long)(more() % 8000));
+          reject_store_calls(0.35, (int)(partial_random() % 3),
+                             200 + (long)(partial_random() % 8000));
         else if (kind < 20)
           world.configure();
         else
           world.retire_any(false, world.random);
     }
   }
-  // An engine begins to say that it leaves, or turns all away for a while.
-  void notice () {
-    Random &draw = world.random_of_notices;
+  // An engine begins to send Server-Leaving, or sheds load for a while.
+  void inject_notice () {
+    Random &draw = world.notice_random;
     const char *service = draw() % 2 ? "model" : "plain";
-    long rest = 1500 + (long)(draw() % 4000);
+    long shed_ms = 1500 + (long)(draw() % 4000);
     switch (draw() % 4) {
       case 0:
-        world.leave_in_answers(service, 5000 + (long)(draw() % 6000));
+        world.announce_leaving(service, 5000 + (long)(draw() % 6000));
         break;
-      case 1: world.shed_one(service, rest); break;
+      case 1: world.shed_one(service, shed_ms); break;
       default:
-        if (options.all_rest)
-          world.shed_all(service, rest);
+        if (options.all_backoff)
+          world.shed_all(service, shed_ms);
         else
-          world.shed_one(service, rest);
+          world.shed_one(service, shed_ms);
     }
   }
-  // The store goes back some seconds, at times twice in a row; when the next
-  // restore is due.
+  // Restores the store from a copy that is some seconds old, at times twice
+  // in a row; returns the ms until the next restore.
   long restore () {
-    world.restore(1000 + (long)(of_restores() % 3500), of_restores);
+    world.restore(1000 + (long)(restore_random() % 3500), restore_random);
     restored_at = now_ms();
-    if (chance(of_restores, 0.2)) return 200;
-    return 8000 + (long)(of_restores() % 3000);
-  }
-  // Versions follow each other fast, so that the next restore goes back by
-  // many revisions. Behind one nothing changes until gateways are bound
-  // again; then engines leave, each among versions. When the next change is
-  // due.
-  long change () {
+    if (chance(restore_random, 0.2)) return 200;
+    return 8000 + (long)(restore_random() % 3000);
+  }
+  // Publishes configurations in quick succession, so that the next restore
+  // goes back by many revisions. After a restore nothing changes until
+  // gateways are accountable again; then engines are drained, each between
+  // configurations. Returns the ms until the next change.
+  long apply_changes () {
     long since = now_ms() - restored_at,
-         quiet = World::WRITE_AGAIN_MS + CONTACT_MS;
+         quiet = World::REWRITE_MS + CONTACT_MS;
     if (restored_at != 0 && since < quiet) return quiet - since;
-    bool leaves = restored_at != 0 && since < quiet + LEAVINGS_MS;
-    if (leaves) world.retire_any(false, of_restores);
-    for (unsigned i = 0; i < 1 + of_restores() % 4; i++) world.configure();
-    return leaves ? 200 + (long)(of_restores() % 300) : 150;
-  }
-  void store_away (int kind, long ms) {
-    world.trouble.store_kind = kind;
-    world.trouble.store_until = now_ms() + ms;
-    world.checker.touch.store_unstable(world.trouble.store_until);
-  }
-  void turn_away (double part, int kind, long ms) {
-    for (Refusal &refusal : world.refusals)
-      refusal = {chance(more, part) ? now_ms() + ms : 0, kind};
-  }
-  // Datagrams between some pairs are lost or late, one way or both.
-  void spoil_network () {
-    network_until = now_ms() + 500 + (long)(more() % 4000);
-    unsigned lost = more() % 1001, delay = more() % 400;
+    bool drains = restored_at != 0 && since < quiet + LEAVING_PERIOD_MS;
+    if (drains) world.retire_any(false, restore_random);
+    for (unsigned i = 0; i < 1 + restore_random() % 4; i++) world.configure();
+    return drains ? 200 + (long)(restore_random() % 300) : 150;
+  }
+  // All calls to the store fail for `ms`; `kind` as Faults::store_kind.
+  void fail_store (int kind, long ms) {
+    world.faults.store_kind = kind;
+    world.faults.store_until = now_ms() + ms;
+    world.checker.disturbances.store_unstable(world.faults.store_until);
+  }
+  // The store fails the calls of a random fraction of the gateways for `ms`;
+  // `kind` as in Rejection. The other gateways' calls succeed again.
+  void reject_store_calls (double fraction, int kind, long ms) {
+    for (Rejection &rejection : world.rejections)
+      rejection = {chance(partial_random, fraction) ? now_ms() + ms : 0,
+                   kind};
+  }
+  // Drops or delays datagrams between some pairs of gateways, in one
+  // direction or both.
+  void degrade_network () {
+    network_until = now_ms() + 500 + (long)(partial_random() % 4000);
+    unsigned lost = partial_random() % 1001, delay = partial_random() % 400;
     for (Gateway &g : gateways) {
-      if (!chance(more, 0.3)) continue;
-      int other = (int)(more() % gateways.size());
+      if (!chance(partial_random, 0.3)) continue;
+      int other = (int)(partial_random() % gateways.size());
       network->set(g.index, other, lost, delay);
-      if (chance(more, 0.5)) network->set(other, g.index, lost, delay);
-      world.checker.touch.disturbed(g.index, network_until);
-      world.checker.touch.disturbed(other, network_until);
+      if (chance(partial_random, 0.5))
+        network->set(other, g.index, lost, delay);
+      world.checker.disturbances.disturb(g.index, network_until);
+      world.checker.disturbances.disturb(other, network_until);
     }
   }
-  // A failure domain has no path to the store nor to the other domain.
-  void cut_domain (long ms) {
-    int domain = (int)(more() % 2);
+  // Cuts a failure domain off from the store and from the other domain.
+  void partition_domain (long ms) {
+    int domain = (int)(partial_random() % 2);
     network_until = now_ms() + ms;
     for (Gateway &g : gateways) {
       if (g.index % 2 != domain) continue;
-      world.refusals[(size_t)g.index] = {network_until, 1};
-      world.checker.touch.disturbed(g.index, network_until);
+      world.rejections[(size_t)g.index] = {network_until, 1};
+      world.checker.disturbances.disturb(g.index, network_until);
       for (Gateway &other : gateways) {
         if (other.index % 2 == domain) continue;
         network->set(g.index, other.index, 1000, 0);
@@ -274,52 +295,58 @@
   void kill_one (Gateway &g) {
     if (g.pid <= 0 || g.stopping) return;
     kills++;
-    world.checker.touch.disturbed(g.index, now_ms());
+    world.checker.disturbances.disturb(g.index, now_ms());
     kill(g.pid, SIGKILL);
     waitpid(g.pid, nullptr, 0);
-    gone(g);
+    schedule_restart(g);
   }
-  void gone (Gateway &g) {
+  // The process is gone; schedules its next start.
+  void schedule_restart (Gateway &g) {
     g.pid = -1;
     g.port = 0;
     g.suspended_at = 0;
     g.resume_at = 0;
     g.restart_at = now_ms() + 50 + (long)(random() % 700);
   }
+  // Stops the process for `ms`; with partial faults half of the pauses are
+  // suspensions of its box.
   void pause (Gateway &g, long ms) {
     if (g.pid <= 0 || g.resume_at != 0 || g.stopping) return;
     pauses++;
     kill(g.pid, SIGSTOP);
-    bool suspended = options.parts && chance(choices, 0.5);
+    bool suspended = options.partial_faults && chance(caller_random, 0.5);
     g.suspended_at = suspended ? now_ms() : 0;
     g.resume_at = now_ms() + ms;
-    world.checker.touch.disturbed(g.index, g.resume_at);
+    world.checker.disturbances.disturb(g.index, g.resume_at);
   }
+  // Orders a planned stop, after which the gateway starts anew.
   void stop (Gateway &g) {
     if (g.pid <= 0 || g.stopping || g.resume_at != 0) return;
     stops++;
     g.stopping = true;
-    world.checker.touch.disturbed(g.index, now_ms() + GRACE_MS);
+    world.checker.disturbances.disturb(g.index, now_ms() + GRACE_MS);
     kill(g.pid, SIGTERM);
   }
-  void look_after (Gateway &g) {
+  // Resumes, reaps and restarts the gateway as due.
+  void update (Gateway &g) {
     int status = 0;
     long now = now_ms();
     if (g.resume_at != 0 && now >= g.resume_at) {
       if (g.suspended_at != 0)
-        network->slept(g.index, (unsigned)(now - g.suspended_at));
+        network->add_suspension(g.index, (unsigned)(now - g.suspended_at));
       g.suspended_at = 0;
       if (g.pid > 0) kill(g.pid, SIGCONT);
-      world.checker.touch.disturbed(g.index, now);
+      world.checker.disturbances.disturb(g.index, now);
       g.resume_at = 0;
     }
     if (g.pid > 0 && waitpid(g.pid, &status, WNOHANG) == g.pid) {
-      bool well = g.stopping && WIFEXITED(status) && WEXITSTATUS(status) == 0;
-      if (!well)
+      bool clean =
+          g.stopping && WIFEXITED(status) && WEXITSTATUS(status) == 0;
+      if (!clean)
         world.checker.breach("EXIT", "g" + std::to_string(g.index),
-                             "ended by itself, status " +
+                             "unexpected exit, wait status " +
                                  std::to_string(status));
-      gone(g);
+      schedule_restart(g);
     }
     if (g.pid < 0 && g.restart_at != 0 && now >= g.restart_at) start(g);
     g.find_port();
@@ -329,71 +356,80 @@
 
   // {== Callers
 
-  void begin (Caller &c) {
+  void send_request (Caller &c) {
     if (c.conn == nullptr || c.conn->fd < 0) connect(c);
     if (c.conn == nullptr) return;
-    c.kind = (Kind)(random() % 3);
-    c.id = "q" + std::to_string(options.seed) + "-" + std::to_string(++asked);
+    c.kind = (RouteKind)(random() % 3);
+    c.id = "q" + std::to_string(options.seed) + "-" +
+           std::to_string(++sent_requests);
     std::string fields, body = chance(random, 0.3) ? "some body" : "";
-    if (c.kind == Kind::Stream)
+    if (c.kind == RouteKind::Stream)
       fields = "X-Model: m\r\nX-Token-Usage: 600,20\r\nX-Prefix-Hash: " +
                std::to_string(1 + random() % 5) + "a:400," +
-               std::to_string(asked) + "b:200\r\n";
+               std::to_string(sent_requests) + "b:200\r\n";
     static const char *const paths[] = {"/once/", "/safe/", "/gen/"};
-    bool second = options.parts && chance(choices, 0.25);
-    std::string path = paths[(int)c.kind], key = second ? some_key() : "";
-    if (options.parts && c.kind == Kind::Again && chance(choices, 0.6))
-      path = chance(choices, 0.5) ? "/side/" : some_path();
-    c.repeats = false;
-    bool repeats = (options.deadly || options.ends) &&
-                   repeat_some(c, path, body, fields);
-    if (repeats) { // the caller is always the same
+    // Sent by the second workspace.
+    bool second = options.partial_faults && chance(caller_random, 0.25);
+    std::string path = paths[(int)c.kind], key = second ? recent_key() : "";
+    if (options.partial_faults && c.kind == RouteKind::Safe &&
+        chance(caller_random, 0.6))
+      path = chance(caller_random, 0.5) ? "/side/" : recent_path();
+    c.harmless_repeat = false;
+    bool repeats = (options.poison_bodies || options.crashes) &&
+                   pick_repeated_body(c, path, body, fields);
+    if (repeats) { // always from the first workspace
       second = false;
       key = "";
     }
     world.checker.ask(c.id, c.kind, second ? "w2" : "w1");
-    Asked &asked_now = world.checker.asked[c.id];
-    asked_now.gateway = c.gateway->index;
-    asked_now.at = now_ms();
-    asked_now.path = path;
-    asked_now.key = key;
+    SentRequest &sent = world.checker.sent_requests[c.id];
+    sent.gateway = c.gateway->index;
+    sent.at = now_ms();
+    sent.path = path;
+    sent.key = key;
     c.conn->in.clear();
     c.conn->send(::World::ask(path + "x", c.id, body, fields,
                               second ? key : "key-w1"));
     c.busy = true;
-    bool soon = chance(random, 0.08);
-    c.leave_at = now_ms() + (soon ? (long)(random() % 40) : 4000);
-  }
-  // Some requests repeat path, caller and body: with `ends` 40 in 100, else 5
-  // in 100 harmless ones and 2 under which engines end.
-  bool repeat_some (Caller &c, std::string &path, std::string &body,
-                    std::string &fields) {
-    unsigned draw = choices() % 100, which = choices() % BODIES;
-    unsigned deadly = options.deadly ? 2 : 0, all = options.ends ? 40 : 7;
+    bool soon = chance(random, 0.08); // the caller disconnects early
+    c.disconnect_at = now_ms() + (soon ? (long)(random() % 40) : 4000);
+  }
+  // Some requests repeat path, workspace and body: with `crashes` 40 of 100,
+  // else 7 of 100. With `poison_bodies` 2 of these have a poison body.
+  bool pick_repeated_body (Caller &c, std::string &path, std::string &body,
+                           std::string &fields) {
+    unsigned draw = caller_random() % 100,
+             which = caller_random() % REPEATED_BODIES;
+    unsigned poison = options.poison_bodies ? 2 : 0,
+             all = options.crashes ? 40 : 7;
     if (draw >= all) return false;
-    c.repeats = draw >= deadly;
-    body = body_of(draw < deadly, (int)which);
-    c.kind = options.streams ? Kind::Stream
-                             : (which % 2 ? Kind::Once : Kind::Again);
+    c.harmless_repeat = draw >= poison;
+    body = body_of(draw < poison, (int)which);
+    c.kind = options.streams
+                 ? RouteKind::Stream
+                 : (which % 2 ? RouteKind::Unsafe : RouteKind::Safe);
     path = options.streams ? "/gen/" : which % 2 ? "/once/" : "/safe/";
     fields = options.streams ? "X-Model: m\r\nX-Token-Usage: 600,20\r\n"
                                "X-Prefix-Hash: 1a:400,2b:200\r\n"
                              : "";
-    repeated += c.repeats;
+    repeated += c.harmless_repeat;
     return true;
   }
-  static std::string body_of (bool deadly, int which) {
-    return (deadly ? "ends engines " : "does no harm ") +
+  static std::string body_of (bool poison, int which) {
+    return (poison ? "ends engines " : "does no harm ") +
            std::to_string(which);
   }
-  // Valid now, or before one of the last changes.
-  std::string some_key () {
-    size_t n = world.keys.size(), back = choices() % std::min(n, (size_t)3);
+  // A key of the second workspace, or a path of a route: of the current
+  // configuration or of one of the last two before it.
+  std::string recent_key () {
+    size_t n = world.keys.size(),
+           back = caller_random() % std::min(n, (size_t)3);
     return world.keys[n - 1 - back];
   }
-  std::string some_path () {
+  std::string recent_path () {
     return "/v" +
-           std::to_string(std::max(2, world.version - (int)(choices() % 3))) +
+           std::to_string(
+               std::max(2, world.version - (int)(caller_random() % 3))) +
            "/";
   }
   void connect (Caller &c) {
@@ -421,48 +457,51 @@
       }
     c.conn = nullptr;
   }
-  void judge (Caller &c, const Answer &a) {
-    repeated_well += c.repeats && a.whole && a.status == 200;
-    if (a.events)
-      world.checker.streamed(c.id, a.body, a.whole);
-    else if (a.whole)
-      world.checker.answered(c.id, a.status, a.seal, a.body);
-  }
-  // Refused though an engine had room.
-  void count_refusal (const Caller &c, const Answer &a) {
-    const Asked &asked_then = world.checker.asked[c.id];
-    std::string service = c.kind == Kind::Stream ? "model" : "plain";
-    if (asked_then.path == "/side/") return; // it changes sides
-    if (!world.has_room(service, asked_then.at)) return;
-    world.checker.refused_with_room[a.body]++;
-  }
-  void look_after (Caller &c, bool go_on) {
+  void record_reply (Caller &c, const Reply &a) {
+    repeated_ok += c.harmless_repeat && a.complete && a.status == 200;
+    if (a.event_stream)
+      world.checker.on_stream(c.id, a.body, a.complete);
+    else if (a.complete)
+      world.checker.on_reply(c.id, a.status, a.seal, a.body);
+  }
+  // Counts a rejection if an engine had capacity when the request was sent.
+  void count_rejection (const Caller &c, const Reply &a) {
+    const SentRequest &sent = world.checker.sent_requests[c.id];
+    std::string service = c.kind == RouteKind::Stream ? "model" : "plain";
+    if (sent.path == "/side/") return; // its service changes
+    if (!world.has_capacity(service, sent.at)) return;
+    world.checker.rejected_with_capacity[a.body]++;
+  }
+  void update (Caller &c, bool sending) {
     long now = now_ms();
     if (!c.busy) {
       if (c.conn != nullptr && !c.conn->in.empty())
-        world.checker.breach("MIXED", c.id, "bytes where nothing was asked");
-      if (go_on && now >= c.next_at) begin(c);
+        world.checker.breach("MIXED", c.id,
+                             "received bytes without a request");
+      if (sending && now >= c.next_request_at) send_request(c);
       return;
     }
-    Answer a = read_answer(*c.conn);
-    if (a.leaving) // as soon as its head is there
-      world.checker.passes_on(c.gateway->index, a.engine, now);
-    if (!a.whole && !c.conn->closed && now < c.leave_at) return;
-    judge(c, a);
-    if (options.notices && a.whole && a.status == 503) count_refusal(c, a);
+    Reply a = parse_reply(*c.conn);
+    if (a.leaving) // counts from the header on
+      world.checker.on_leaving_reply(c.gateway->index, a.engine, now);
+    if (!a.complete && !c.conn->closed && now < c.disconnect_at) return;
+    record_reply(c, a);
+    if (options.notices && a.complete && a.status == 503)
+      count_rejection(c, a);
     c.busy = false;
     c.conn->in.clear();
-    c.next_at = now + (long)(random() % 30);
-    if (!a.whole || a.closes || chance(random, 0.2)) drop(c);
+    c.next_request_at = now + (long)(random() % 30);
+    if (!a.complete || a.connection_close || chance(random, 0.2)) drop(c);
   }
 
   // }==
 
-  void turn (bool go_on) {
+  // One iteration of the soak; `sending`: idle callers send new requests.
+  void step (bool sending) {
     world.pump();
     if (network_until != 0 && now_ms() >= network_until) heal_network();
-    for (Gateway &g : gateways) look_after(g);
-    for (Caller &c : callers) look_after(c, go_on);
+    for (Gateway &g : gateways) update(g);
+    for (Caller &c : callers) update(c, sending);
   }
 
   void heal_network () {
@@ -470,27 +509,31 @@
     network->heal();
   }
 
-  // Trouble is over: what is at hand ends, and each gateway serves again.
-  void calm () {
-    world.trouble = Trouble();
-    for (Refusal &refusal : world.refusals) refusal = Refusal();
+  // Ends all faults, waits for requests in progress and checks that each
+  // gateway serves again.
+  void check_recovery () {
+    world.faults = Faults();
+    for (Rejection &rejection : world.rejections) rejection = Rejection();
     heal_network();
-    if (!world.emptied.empty()) world.evacuate("d2");
+    if (!world.evacuated.empty()) world.evacuate("d2");
     for (Gateway &g : gateways)
       if (g.resume_at != 0) g.resume_at = 1;
-    for (int i = 0; i < 5000 && !idle(); i++) turn(false);
+    for (int i = 0; i < 5000 && !idle(); i++) step(false);
     for (Gateway &g : gateways) {
       bool serves = false;
-      long end = now_ms() + RECOVER_MS; // only ends a soak that has failed
+      long end = now_ms() + RECOVER_MS;
       while (!serves && now_ms() < end) {
-        serves = serves_one(g);
-        for (int i = 0; i < 20 && !serves; i++) turn(false);
+        serves = serves_request(g);
+        for (int i = 0; i < 20 && !serves; i++) step(false);
       }
       if (!serves)
         world.checker.breach("RECOVER", "g" + std::to_string(g.index),
-                             "does not serve after the trouble");
+                             "did not serve within " +
+                                 std::to_string(RECOVER_MS) +
+                                 " ms of retries after the faults");
     }
   }
+  // True if no request is in progress and all gateways are up.
   bool idle () const {
     for (const Caller &c : callers)
       if (c.busy) return false;
@@ -498,9 +541,10 @@
       if (g.pid <= 0 || g.port == 0 || g.stopping) return false;
     return true;
   }
-  bool serves_one (Gateway &g) {
+  // Sends one request to the gateway; true if it is answered with 200.
+  bool serves_request (Gateway &g) {
     Caller c;
-    for (int i = 0; i < 200 && g.port == 0; i++) turn(false);
+    for (int i = 0; i < 200 && g.port == 0; i++) step(false);
     if (g.port == 0) return false;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in a = loopback(g.port);
@@ -511,58 +555,63 @@
     }
     world.conns.push_back({fd, ""});
     c.conn = &world.conns.back();
-    c.id = "last" + std::to_string(++asked);
-    c.kind = Kind::Again;
+    c.id = "last" + std::to_string(++sent_requests);
+    c.kind = RouteKind::Safe;
     world.checker.ask(c.id, c.kind, "w1");
     c.conn->send(::World::ask("/safe/x", c.id));
-    Answer got;
-    for (int i = 0; i < 1500 && !got.whole && !c.conn->closed; i++) {
-      turn(false);
-      got = read_answer(*c.conn);
+    Reply got;
+    for (int i = 0; i < 1500 && !got.complete && !c.conn->closed; i++) {
+      step(false);
+      got = parse_reply(*c.conn);
     }
-    judge(c, got);
+    record_reply(c, got);
     drop(c);
     return got.status == 200;
   }
   void report () {
     const Checker &k = world.checker;
-    printf("seed %u: %ld asked, %ld answers, %ld streams (%ld cut), %ld "
-           "refused, %ld failed; %ld kills, %ld pauses, %ld stops; %zu "
+    printf("seed %u: %ld requests, %ld replies, %ld streams (%ld truncated), "
+           "%ld rejected, %ld failed; %ld kills, %ld pauses, %ld stops; %zu "
            "breaches\n",
-           options.seed, asked, k.answers, k.streams, k.cuts, k.refusals,
-           k.failures, kills, pauses, stops, k.breaches.size());
+           options.seed, sent_requests, k.replies, k.streams,
+           k.truncated_streams, k.rejections, k.failures, kills, pauses,
+           stops, k.breaches.size());
     if (options.restores) printf("  %d restores\n", world.restores);
-    if (options.parts || options.restores) {
+    if (options.partial_faults || options.restores) {
       printf("  late:");
       for (auto &row : k.late)
         printf(" %s %ld", row.first.c_str(), row.second);
-      printf(" (latest %ld ms); %ld by gateways that were not bound\n",
-             k.latest, k.excused);
+      printf(" (latest %ld ms); %ld from gateways not accountable\n",
+             k.late_max_ms, k.late_exempt);
     }
     if (options.notices) {
-      long rooms = 0;
-      for (auto &row : k.refused_with_room) rooms += row.second;
-      printf("  engines: %ld rests asked, %ld with over %d requests in them; "
-             "%ld leavings passed on; late: own %ld, others' %ld (latest %ld "
-             "ms); refused while there was room: %ld of %ld",
-             k.rests_asked, k.rests_broken, RESTS_ALLOWED, k.leaves_passed,
-             k.late.count("SAID") ? k.late.at("SAID") : 0,
-             k.late.count("TOLD") ? k.late.at("TOLD") : 0, k.latest, rooms,
-             asked);
-      for (auto &row : k.refused_with_room)
+      long rejected = 0;
+      for (auto &row : k.rejected_with_capacity) rejected += row.second;
+      printf(
+          "  engines: %ld backoffs requested, %ld with over %d requests "
+          "during them; %ld Server-Leaving forwarded; late: SAID %ld, TOLD "
+          "%ld (latest %ld ms); rejected with free capacity: %ld of %ld",
+          k.backoffs_requested, k.backoffs_violated, BACKOFF_REQUESTS_MAX,
+          k.leaving_replies, k.late.count("SAID") ? k.late.at("SAID") : 0,
+          k.late.count("TOLD") ? k.late.at("TOLD") : 0, k.late_max_ms,
+          rejected, sent_requests);
+      for (auto &row : k.rejected_with_capacity)
         printf(" %s %ld", row.first.c_str(), row.second);
-      printf("\n  late behind the first of all, in contact or not: %zu",
-             k.told_late.size());
-      for (const std::string &late : k.told_late)
+      printf("\n  late after the first gateway to forward Server-Leaving, in "
+             "contact or not: %zu",
+             k.late_after_first.size());
+      for (const std::string &late : k.late_after_first)
         printf("; %s", late.c_str());
       printf("\n");
     }
-    if (options.deadly || options.ends) {
-      int most = 0;
-      for (auto &row : k.deadly) most = std::max(most, row.second.arrivals);
-      printf("  %d engines ended; arrivals of one body once it is known: at "
-             "most %d; harmless repeated ones not answered 200: %ld of %ld\n",
-             world.ended, most, repeated - repeated_well, repeated);
+    if (options.poison_bodies || options.crashes) {
+      int arrivals_max = 0;
+      for (auto &row : k.poison_bodies)
+        arrivals_max = std::max(arrivals_max, row.second.arrivals);
+      printf(
+          "  %d engine crashes; arrivals of one body after its quarantine: "
+          "at most %d; harmless repeats without status 200: %ld of %ld\n",
+          world.crash_count, arrivals_max, repeated - repeated_ok, repeated);
     }
     for (const std::string &b : k.breaches) printf("  %s\n", b.c_str());
     if (!k.breaches.empty() || options.keep) {
@@ -581,7 +630,8 @@
 
 // }==
 
-// Seeds of a file: a number at the start of each line, then its cause.
+// Reads seeds from a file: a number at the start of each line, then why it is
+// kept. Other lines are ignored.
 std::vector<unsigned> read_seeds (const std::string &file) {
   std::vector<unsigned> seeds;
   std::ifstream in(file);
@@ -612,21 +662,21 @@
     else if (name == "--seeds")
       options.seeds_file = value();
     else if (name == "--parts")
-      options.parts = true;
+      options.partial_faults = true;
     else if (name == "--times")
-      options.times = true;
+      options.check_times = true;
     else if (name == "--no-kills")
       options.kills = false;
     else if (name == "--deadly")
-      options.deadly = true;
+      options.poison_bodies = true;
     else if (name == "--ends")
-      options.ends = true;
+      options.crashes = true;
     else if (name == "--streams")
       options.streams = true;
     else if (name == "--notices")
       options.notices = true;
     else if (name == "--all-rest")
-      options.notices = options.all_rest = true;
+      options.notices = options.all_backoff = true;
     else if (name == "--restores")
       options.restores = true;
     else if (name == "--keep")
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -1,4 +1,4 @@
-// world.h - store and engines of a soak, with faults of their own
+// world.h - the store and the engines of a soak, with injected faults
 #ifndef tests_soak_world_h
 #define tests_soak_world_h
 
@@ -19,43 +19,50 @@
   return ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
+// True with probability `p`.
 inline bool chance (Random &random, double p) {
   return std::uniform_real_distribution<double>(0, 1)(random) < p;
 }
 
-// How the store and the engines misbehave, until some time.
-struct Trouble {
+// Faults of the store for all gateways, and of the engines, each until a time
+// in ms of the steady clock.
+struct Faults {
   long store_until = 0, engines_until = 0;
-  int store_kind = 0; // 0: 503, 1: silence, 2: resets, 3: history forgotten
-  double engine_part = 0;
+  // 0: replies 503, 1: no reply, 2: resets connections, 3: drops its history
+  int store_kind = 0;
+  double engine_fraction = 0; // of requests that get a faulty reply
 };
 
-// How the store turns one gateway away, until some time.
-struct Refusal {
+// A fault of the store for the calls of one gateway, until a time.
+struct Rejection {
   long until = 0;
-  int kind = 0; // as Trouble::store_kind, but never the last
+  int kind = 0; // as Faults::store_kind, but never 3
 };
 
-// One engine's answer in progress: what is still to be sent, and when.
-struct Sending {
+// A part of an engine's reply that is to be sent at a time.
+struct PendingSend {
   Conn *conn;
   std::string text;
   long at;
-  int end; // 0: goes on, 1: close, 2: reset
+  int end; // then 0: keep the connection, 1: close it, 2: reset it
 };
 
+// Plays the store and the engines for a fleet of gateways in one event loop,
+// pump(); all times are ms of the steady clock. Gateway n is in failure
+// domain d1 if n is even, else in d2.
 class World {
 public:
-  Random random;
+  Random random; // draws replies, their delays, and which engines change
   Checker checker;
   Notices notices;
-  Trouble trouble;
+  Faults faults;
   std::list<Conn> conns;
   std::list<Listener> listeners;
   std::map<std::string, Item> items;
-  std::set<std::string> gone;
-  std::map<std::string, long> gone_at; // revision
-  std::vector<Sending> sending;
+  std::set<std::string> deleted;
+  std::map<std::string, long> deleted_at; // key -> revision
+  std::vector<PendingSend> pending_sends;
+  // A long poll for changes after revision `since`; empty reply at `until`.
   struct Watch {
     Conn *conn;
     std::string prefix;
@@ -63,34 +70,39 @@
     int gateway;
   };
   std::vector<Watch> watches;
-  long rev = 10, forgotten = 0;
-  int era = 0;     // of the store, in all its answers; 0: they name none
-  size_t page = 0; // items of one answer of a list; 0: all
-  int version = 1, engines_made = 0;
-  bool parts; // troubles of a part of the gateways; more to declare
-  std::vector<Listener *> stores; // the store's address for each gateway
-  std::vector<Refusal> refusals;  // by gateway
-  std::vector<std::string> models, plains, desks;
+  // A watch from a revision before `compacted_rev` gets 410.
+  long rev = 10, compacted_rev = 0;
+  int era = 0;     // Store-Era of all the store's replies; 0: none is sent
+  size_t page = 0; // items in one reply to a list; 0: all
+  int version = 1, engines_created = 0; // version: of the configuration
+  // Runs with --parts: domain d2 has engines, and there are a service "desk",
+  // a second workspace and a route that changes its service.
+  bool partial_faults;
+  std::vector<Listener *> stores;    // the store's listener for each gateway
+  std::vector<Rejection> rejections; // by gateway
+  // Ids of the engines in use, by service.
+  std::vector<std::string> model_engines, plain_engines, desk_engines;
   std::vector<std::string> keys; // of the second workspace; the last is valid
-  std::set<std::string> emptied; // failure domains
+  std::set<std::string> evacuated; // failure domains
 
-  World(unsigned seed, int gateways, bool part_troubles)
-      : random(seed), notices(seed * 15485867), parts(part_troubles),
-        refusals((size_t)gateways) {
+  World(unsigned seed, int gateways, bool partial)
+      : random(seed), notices(seed * 15485867), partial_faults(partial),
+        rejections((size_t)gateways) {
     for (int i = 0; i < gateways; i++)
-      stores.push_back(listen(
-          [this, i] (Conn &c, const Request &r) { on_store(c, r, i); }));
+      stores.push_back(listen([this, i] (Conn &c, const Request &r) {
+        on_store_request(c, r, i);
+      }));
     configure();
     for (int i = 0; i < 4; i++) add_engine("model");
     for (int i = 0; i < 3; i++) add_engine("plain");
-    for (int i = 0; parts && i < 2; i++) add_engine("desk");
+    for (int i = 0; partial_faults && i < 2; i++) add_engine("desk");
   }
   World(const World &) = delete;
   ~World() {
     for (Conn &c : conns) c.close();
     for (Listener &l : listeners)
       if (l.fd >= 0) ::close(l.fd);
-    for (auto &row : held)
+    for (auto &row : reserved_ports)
       if (row.second >= 0) ::close(row.second);
   }
 
@@ -99,41 +111,45 @@
   void put (const std::string &key, const std::string &value) {
     lost.erase(key);
     items[key] = {value, ++rev};
-    gone_at.erase(key);
-    tell();
+    deleted_at.erase(key);
+    notify_watches();
   }
   void drop (const std::string &key) {
     lost.erase(key);
     items.erase(key);
-    gone_at[key] = ++rev;
-    tell();
+    deleted_at[key] = ++rev;
+    notify_watches();
   }
 
   // {== Restores
 
-  // What the store held at a moment.
+  // A backup of the store.
   struct Copy {
     long at;
     std::map<std::string, Item> items;
-    std::map<std::string, long> gone_at;
+    std::map<std::string, long> deleted_at;
     long rev;
   };
-  // What a restore lost and its writer writes again; an empty value drops it.
+  // A write that a restore lost, and when its writer repeats it. An empty
+  // value deletes the key.
   struct Lost {
     std::string value;
     long due;
   };
-  std::list<Copy> copies; // the last first
-  std::map<std::string, Lost> lost;
+  std::list<Copy> copies;           // newest first
+  std::map<std::string, Lost> lost; // by key
   int restores = 0;
 
-  void copy_now () {
-    if (!copies.empty() && now_ms() - copies.front().at < COPY_MS) return;
-    copies.push_front({now_ms(), items, gone_at, rev});
+  // Takes a copy every COPY_INTERVAL_MS.
+  void copy_if_due () {
+    if (!copies.empty() && now_ms() - copies.front().at < COPY_INTERVAL_MS)
+      return;
+    copies.push_front({now_ms(), items, deleted_at, rev});
     if (copies.size() > COPIES_MAX) copies.pop_back();
   }
-  // The store comes back from a copy that is so old. Its revisions go on from
-  // the copy's, and what was written since is written again.
+  // Restores the store from the newest copy that is at least `age` ms old.
+  // Revisions continue from the copy's, all watches are cut, and writes since
+  // the copy are repeated within REWRITE_MS.
   void restore (long age, Random &draw) {
     auto copy = std::find_if(copies.begin(), copies.end(), [&] (Copy &c) {
       return now_ms() - c.at >= age;
@@ -142,9 +158,9 @@
     std::map<std::string, Item> now;
     now.swap(items);
     items = copy->items;
-    gone_at = copy->gone_at;
+    deleted_at = copy->deleted_at;
     rev = copy->rev;
-    forgotten = std::min(forgotten, rev);
+    compacted_rev = std::min(compacted_rev, rev);
     copies.erase(copies.begin(), copy);
     era++;
     restores++;
@@ -152,13 +168,14 @@
     for (Watch &w : watches)
       if (w.conn->fd >= 0 && !is_silent(w.gateway)) w.conn->abort();
     watches.clear();
-    checker.touch.store_unstable(now_ms() + WRITE_AGAIN_MS);
+    checker.disturbances.store_unstable(now_ms() + REWRITE_MS);
   }
+  // Schedules the writes that lead from the restored items back to `now`.
   void note_lost (const std::map<std::string, Item> &now, Random &draw) {
     std::map<std::string, Lost> before;
     before.swap(lost);
     auto lose = [&] (const std::string &key, const std::string &value) {
-      lost[key] = {value, now_ms() + (long)(draw() % WRITE_AGAIN_MS)};
+      lost[key] = {value, now_ms() + (long)(draw() % REWRITE_MS)};
     };
     for (auto &i : now)
       if (items.count(i.first) == 0 || items[i.first].value != i.second.value)
@@ -167,7 +184,7 @@
       if (now.count(i.first) == 0) lose(i.first, "");
     for (auto &l : before) lose(l.first, l.second.value);
   }
-  void write_again () {
+  void rewrite_lost () {
     std::map<std::string, Lost> all = lost;
     for (auto &l : all) {
       if (now_ms() < l.second.due) continue;
@@ -179,26 +196,28 @@
         lost.erase(l.first);
     }
   }
-  static const long COPY_MS = 250, WRITE_AGAIN_MS = 1500;
+  static const long COPY_INTERVAL_MS = 250, REWRITE_MS = 1500;
   static const size_t COPIES_MAX = 60;
 
   // }==
 
-  // Each version has a route of its own and lets the last one's go; with part
-  // troubles its second workspace has a new key, and one route changes sides.
+  // Publishes the next configuration. Each version has a route of its own and
+  // drops the one of the version before. With partial faults the second
+  // workspace gets a new key, which replaces the last, and the route /side/
+  // alternates between the services plain and desk.
   void configure () {
     version++;
     std::string name = "r" + std::to_string(version),
                 path = "/v" + std::to_string(version) + "/";
     std::string more = route(name, path, "plain"), tenants;
-    if (parts) {
+    if (partial_faults) {
       const char *sides[] = {"plain", "desk"};
       more += route("side", "/side/", sides[version % 2]);
-      checker.ends("path /side/ at " + std::string(sides[1 - version % 2]),
-                   now_ms());
-      checker.again("path /side/ at " + std::string(sides[version % 2]));
-      checker.ends("path /v" + std::to_string(version - 1) + "/", now_ms());
-      if (!keys.empty()) checker.ends("key " + keys.back(), now_ms());
+      checker.forbid("path /side/ at " + std::string(sides[1 - version % 2]),
+                     now_ms());
+      checker.permit("path /side/ at " + std::string(sides[version % 2]));
+      checker.forbid("path /v" + std::to_string(version - 1) + "/", now_ms());
+      if (!keys.empty()) checker.forbid("key " + keys.back(), now_ms());
       keys.push_back("key-w2-" + std::to_string(version));
       tenants = ",{\"name\":\"w2\",\"api_keys\":[\"" + keys.back() + "\"]}";
     }
@@ -212,48 +231,52 @@
            "\"goal_ms\":500,\"service\":\"" +
            service + "\",\"max_attempts\":2}";
   }
-  // A failure domain is emptied of work, or used again.
+  // Begins the evacuation of a failure domain, or ends it.
   void evacuate (const std::string &domain) {
-    bool on = emptied.insert(domain).second;
+    bool on = evacuated.insert(domain).second;
     if (on) {
       put("op/evacuate/" + domain, "{}");
-      checker.ends("domain " + domain, now_ms());
+      checker.forbid("domain " + domain, now_ms());
     } else {
-      emptied.erase(domain);
-      checker.again("domain " + domain);
+      evacuated.erase(domain);
+      checker.permit("domain " + domain);
       drop("op/evacuate/" + domain);
     }
   }
+  // A key's current state as a JSON event of the store.
   std::string event (const std::string &key) {
-    if (gone_at.count(key))
+    if (deleted_at.count(key))
       return "{\"key\":\"" + key +
-             "\",\"rev\":" + std::to_string(gone_at[key]) + ",\"gone\":true}";
+             "\",\"rev\":" + std::to_string(deleted_at[key]) +
+             ",\"gone\":true}";
     return "{\"key\":\"" + key + "\",\"value\":\"" +
            base64(items[key].value) +
            "\",\"rev\":" + std::to_string(items[key].rev) + "}";
   }
-  static bool begins (const std::string &key, const std::string &prefix) {
+  static bool has_prefix (const std::string &key, const std::string &prefix) {
     return key.compare(0, prefix.size(), prefix) == 0;
   }
-  // What changed below a prefix after a revision, in order.
+  // JSON events of the changes below a prefix after a revision, by revision.
   std::string changes (const std::string &prefix, long since) {
     std::map<long, std::string> by_rev;
     for (auto &i : items)
-      if (i.second.rev > since && begins(i.first, prefix))
+      if (i.second.rev > since && has_prefix(i.first, prefix))
         by_rev[i.second.rev] = i.first;
-    for (auto &g : gone_at)
-      if (g.second > since && begins(g.first, prefix))
+    for (auto &g : deleted_at)
+      if (g.second > since && has_prefix(g.first, prefix))
         by_rev[g.second] = g.first;
     std::string all;
     for (auto &c : by_rev) all += (all.empty() ? "" : ",") + event(c.second);
     return all;
   }
-  // A watch that is held ends with the store's silence, not before.
+  // True while the store does not reply to the gateway. Its open watches get
+  // no reply before that ends.
   bool is_silent (int gateway) const {
-    const Refusal &refusal = refusals[(size_t)gateway];
-    return now_ms() < refusal.until && refusal.kind == 1;
+    const Rejection &rejection = rejections[(size_t)gateway];
+    return now_ms() < rejection.until && rejection.kind == 1;
   }
-  void tell () {
+  // Replies to watches that have changes to report, or whose time is up.
+  void notify_watches () {
     for (size_t i = watches.size(); i-- > 0;) {
       Watch &w = watches[i];
       std::string all = changes(w.prefix, w.since);
@@ -273,40 +296,43 @@
     at += name.size() + 1;
     return line.substr(at, line.find_first_of("& ", at) - at);
   }
-  // True when a call is done with, since the store is in trouble.
-  bool refuses (Conn &c, int kind) {
+  // Applies a fault of the store to a call; true if the call gets no regular
+  // reply.
+  bool inject_store_fault (Conn &c, int kind) {
     switch (kind) {
       case 0: c.send(answer(503, era_field(), "")); return true;
       case 1: return true;
       case 2: c.abort(); return true;
-      default: forgotten = rev; return false;
+      default: compacted_rev = rev; return false;
     }
   }
-  void on_store (Conn &c, const Request &r, int gateway) {
+  void on_store_request (Conn &c, const Request &r, int gateway) {
     std::string line = r.line(), prefix = query(line, "path_prefix");
-    const Refusal &refusal = refusals[(size_t)gateway];
-    if (now_ms() < refusal.until && refuses(c, refusal.kind)) return;
-    if (now_ms() < trouble.store_until && refuses(c, trouble.store_kind))
+    const Rejection &rejection = rejections[(size_t)gateway];
+    if (now_ms() < rejection.until && inject_store_fault(c, rejection.kind))
+      return;
+    if (now_ms() < faults.store_until &&
+        inject_store_fault(c, faults.store_kind))
       return;
     if (line.find("/-/kv-watch") != std::string::npos) {
       long since = std::stol("0" + query(line, "since_rev"));
-      if (since < forgotten || since > rev) {
+      if (since < compacted_rev || since > rev) {
         c.send(answer(410, era_field(), ""));
         return;
       }
       long wait = std::stol("0" + query(line, "wait_ms"));
       watches.push_back({&c, prefix, since, now_ms() + wait, gateway});
-      tell();
+      notify_watches();
       return;
     }
     list(c, prefix, query(line, "since_rev"));
   }
-  // A page of the items behind a key.
-  void list (Conn &c, const std::string &prefix, const std::string &behind) {
+  // Replies with a page of the items after a key.
+  void list (Conn &c, const std::string &prefix, const std::string &after) {
     std::string all, more = "false";
     size_t count = 0;
     for (auto &i : items) {
-      if (!begins(i.first, prefix) || i.first <= behind) continue;
+      if (!has_prefix(i.first, prefix) || i.first <= after) continue;
       if (page > 0 && count == page) {
         more = "true";
         break;
@@ -327,73 +353,79 @@
   // {== Engines
 
   void add_engine (const std::string &service) {
-    std::string id = "i-" + std::to_string(++engines_made);
+    std::string id = "i-" + std::to_string(++engines_created);
     Listener *l = listen(
         [this, id] (Conn &c, const Request &r) { on_request(c, r, id); });
     ids_of(service).push_back(id);
-    checker.engines[id] = {service,
-                           parts && engines_made % 2 == 0 ? "d2" : "d1"};
-    places[id] = l;
+    checker.engines[id] = {
+        service, partial_faults && engines_created % 2 == 0 ? "d2" : "d1"};
+    engine_listeners[id] = l;
     listed_at[id] = now_ms();
-    borns[id] = ++born;
+    born_by_engine[id] = ++born;
     announce(id, service, l->port, "ready");
     ports[id] = l->port;
   }
   std::vector<std::string> &ids_of (const std::string &service) {
-    if (service == "model") return models;
-    return service == "plain" ? plains : desks;
+    if (service == "model") return model_engines;
+    return service == "plain" ? plain_engines : desk_engines;
   }
-  // The one that was added last.
-  std::string engine_last () const {
-    return "i-" + std::to_string(engines_made);
+  // The engine that was added last.
+  std::string last_engine () const {
+    return "i-" + std::to_string(engines_created);
   }
-  std::map<std::string, int> ports;
-  std::map<std::string, long> listed_at;
-  std::map<std::string, int> arrived; // requests, by engine
+  std::map<std::string, int> ports;           // by engine
+  std::map<std::string, long> listed_at;      // by engine
+  std::map<std::string, int> engine_requests; // received, by engine
+  // Writes an engine's entry to the store.
   void announce (const std::string &id, const std::string &service, int port,
                  const char *state) {
     put("servers/" + id,
         "{\"service\":\"" + service +
             "\",\"addr\":\"127.0.0.1:" + std::to_string(port) +
             "\",\"zone\":\"" + checker.engines[id].domain +
-            "\",\"slots\":8,\"born\":" + std::to_string(borns[id]) +
+            "\",\"slots\":8,\"born\":" + std::to_string(born_by_engine[id]) +
             ",\"state\":\"" + state + "\"}");
   }
-  // One engine leaves as planned and serves on: it says so, or its entry is
-  // gone without a word. Another takes its place.
-  void retire (const std::string &service, const std::string &id, bool says) {
+  // Drains an engine: its entry in the store becomes "draining", or is
+  // deleted without `announced`. It still answers requests. A new engine
+  // replaces it.
+  void retire (const std::string &service, const std::string &id,
+               bool announced) {
     auto &ids = ids_of(service);
     ids.erase(std::find(ids.begin(), ids.end(), id));
-    if (says)
+    if (announced)
       announce(id, service, ports[id], "draining");
     else
       drop("servers/" + id);
-    checker.ends("engine " + id, now_ms());
+    checker.forbid("engine " + id, now_ms());
     add_engine(service);
   }
-  // `forgets`: the store drops its history around that.
-  void retire_any (bool forgets, Random &draw) {
+  // Drains a random engine. `drop_history`: the store drops its history right
+  // before and after that, so that no watch reports the change.
+  void retire_any (bool drop_history, Random &draw) {
     static const char *const services[] = {"model", "plain", "plain", "desk"};
-    std::string service = services[draw() % (parts ? 4 : 3)];
+    std::string service = services[draw() % (partial_faults ? 4 : 3)];
     auto &ids = ids_of(service);
     std::string id = ids[draw() % ids.size()];
-    if (forgets) forget();
+    if (drop_history) forget();
     retire(service, id, chance(draw, 0.5));
-    if (forgets) forget();
+    if (drop_history) forget();
   }
-  // The history goes, with all that watch; they have to read lists.
+  // The store drops its history: all watches get 410 and have to be replaced
+  // by lists.
   void forget () {
-    forgotten = ++rev;
+    compacted_rev = ++rev;
     for (Watch &w : watches)
       if (w.conn->fd >= 0 && !is_silent(w.gateway))
         w.conn->send(answer(410, era_field(), ""));
     watches.clear();
-    checker.touch.store_unstable(now_ms());
+    checker.disturbances.store_unstable(now_ms());
   }
-  // Replaces one engine: it says that it leaves, or crashes without a word.
+  // Replaces a random engine: it is listed as draining, or it crashes and its
+  // entry is deleted.
   void replace_engine () {
     bool model = chance(random, 0.5);
-    auto &ids = model ? models : plains;
+    auto &ids = model ? model_engines : plain_engines;
     std::string id = ids[random() % ids.size()];
     ids.erase(std::find(ids.begin(), ids.end(), id));
     const char *service = model ? "model" : "plain";
@@ -405,114 +437,123 @@
     }
     add_engine(service);
   }
-  std::set<std::string> dead;
-
-  // {== Engines that end, and start again
-
-  // Bodies under which each engine ends that begins them, and how long that
-  // takes; an engine is back after `down_ms`, under its id or a new one.
-  std::set<std::string> deadly;
-  long deadly_ms = 20, down_ms = 2000;
-  bool renews = false;               // under a new id
-  long born = 1780000000000;         // of the engine that started last
-  std::map<std::string, long> borns; // by engine
-  std::map<std::string, long> ends_at, back_at;           // by engine
-  std::map<std::string, std::set<std::string>> doomed_by; // engine -> bodies
-  std::map<std::string, Listener *> places;               // where it listens
-  // Its port while it is down: bound, so that nobody else gets it, and nobody
-  // listens. Another soak's store was given one, and answered for an engine.
-  std::map<std::string, int> held;
-  int ended = 0;
-
-  void begin_deadly (const std::string &id, const std::string &body,
+  std::set<std::string> dead; // engines that reset every request
+
+  // {== Engines that crash and restart
+
+  // An engine that receives one of these bodies crashes `poison_delay_ms`
+  // later and restarts `down_ms` after that.
+  std::set<std::string> poison_bodies;
+  long poison_delay_ms = 20, down_ms = 2000;
+  bool renews = false; // engines restart under a new id, else under the same
+  // Incarnation of the engine that started last, as in its entry; it rises
+  // with each start.
+  long born = 1780000000000;
+  std::map<std::string, long> born_by_engine;
+  std::map<std::string, long> crash_at, engine_restart_at; // by engine
+  std::map<std::string, std::set<std::string>>
+      crash_bodies;                                   // engine -> bodies
+  std::map<std::string, Listener *> engine_listeners; // by engine
+  // Sockets that keep the port of an engine that is down: bound, but not
+  // listening. Otherwise another soak on the same box may get the port for
+  // its store, which then replies in place of the engine.
+  std::map<std::string, int> reserved_ports;
+  int crash_count = 0;
+
+  // An engine begins to execute a poison body and is going to crash.
+  void start_poison (const std::string &id, const std::string &body,
                      const std::string &engine) {
-    checker.begins_deadly(id, body, read_since);
-    doomed_by[engine].insert(body);
-    if (ends_at.count(engine) == 0) ends_at[engine] = now_ms() + deadly_ms;
-  }
-  // Its connections are reset, and nobody listens any more.
-  void end_engine (const std::string &id) {
-    Listener *place = places[id];
-    ends_at.erase(id);
-    for (const std::string &body : doomed_by[id])
-      checker.ended_under(body, now_ms());
-    doomed_by.erase(id);
-    if (place->fd < 0) return;
-    ::close(place->fd);
-    place->fd = -1;
-    held[id] = bind_at(place->port);
+    checker.on_poison_arrival(id, body, previous_poll_at);
+    crash_bodies[engine].insert(body);
+    if (crash_at.count(engine) == 0)
+      crash_at[engine] = now_ms() + poison_delay_ms;
+  }
+  // Resets the engine's connections and closes its listening socket.
+  void crash_engine (const std::string &id) {
+    Listener *listener = engine_listeners[id];
+    crash_at.erase(id);
+    for (const std::string &body : crash_bodies[id])
+      checker.on_crash(body, now_ms());
+    crash_bodies.erase(id);
+    if (listener->fd < 0) return;
+    ::close(listener->fd);
+    listener->fd = -1;
+    reserved_ports[id] = bind_at(listener->port);
     for (Conn &c : conns)
-      if (c.listener == place && c.fd >= 0) c.abort();
-    ended++;
-    back_at[id] = now_ms() + down_ms;
+      if (c.listener == listener && c.fd >= 0) c.abort();
+    crash_count++;
+    engine_restart_at[id] = now_ms() + down_ms;
     if (renews) drop("servers/" + id);
   }
-  // False when its port is taken meanwhile: then it tries again.
-  bool start_engine (const std::string &id) {
-    Listener *place = places[id];
+  // False if the port is taken; the caller tries again later.
+  bool restart_engine (const std::string &id) {
+    Listener *listener = engine_listeners[id];
     const auto &ids = ids_of(checker.engines[id].service);
     if (std::find(ids.begin(), ids.end(), id) == ids.end())
-      return true; // it has left meanwhile
-    int fd = held.at(id);
-    if (fd < 0) fd = bind_at(place->port);
+      return true; // drained or replaced while it was down
+    int fd = reserved_ports.at(id);
+    if (fd < 0) fd = bind_at(listener->port);
     if (fd < 0) return false;
-    held[id] = -1;
+    reserved_ports[id] = -1;
     ::listen(fd, 256);
-    place->fd = fd;
+    listener->fd = fd;
     const std::string &service = checker.engines[id].service;
-    borns[id] = ++born;
-    checker.starts_again(id);
+    born_by_engine[id] = ++born;
+    checker.on_engine_restart(id);
     if (renews)
       rename_engine(id);
     else
-      announce(id, service, place->port, "ready");
+      announce(id, service, listener->port, "ready");
     return true;
   }
+  // Gives an engine a new id and announces it.
   void rename_engine (const std::string &old) {
-    std::string id = "i-" + std::to_string(++engines_made);
-    Listed listed = checker.engines[old];
+    std::string id = "i-" + std::to_string(++engines_created);
+    EngineEntry listed = checker.engines[old];
     checker.engines[id] = listed;
-    places[id] = places[old];
-    borns[id] = born;
+    engine_listeners[id] = engine_listeners[old];
+    born_by_engine[id] = born;
     ports[id] = ports[old];
-    places[id]->handler = [this, id] (Conn &c, const Request &r) {
+    engine_listeners[id]->handler = [this, id] (Conn &c, const Request &r) {
       on_request(c, r, id);
     };
     auto &ids = ids_of(listed.service);
     std::replace(ids.begin(), ids.end(), old, id);
     announce(id, listed.service, ports[id], "ready");
   }
-  void end_due () {
+  // Performs the crashes and restarts that are due.
+  void apply_due_crashes () {
     long now = now_ms();
     std::vector<std::string> due;
-    for (auto &row : ends_at)
+    for (auto &row : crash_at)
       if (row.second <= now) due.push_back(row.first);
-    for (const std::string &id : due) end_engine(id);
+    for (const std::string &id : due) crash_engine(id);
     due.clear();
-    for (auto &row : back_at)
+    for (auto &row : engine_restart_at)
       if (row.second <= now) due.push_back(row.first);
     for (const std::string &id : due)
-      if (start_engine(id)) back_at.erase(id);
+      if (restart_engine(id)) engine_restart_at.erase(id);
   }
-  // One of a service that serves, by itself.
-  void end_any (const std::string &service, Random &random_of_ends) {
+  // Crashes a random engine of a service, if it is not down already.
+  void crash_any (const std::string &service, Random &draw) {
     const auto &ids = ids_of(service);
-    const std::string &id = ids[random_of_ends() % ids.size()];
-    if (back_at.count(id) == 0) end_engine(id);
+    const std::string &id = ids[draw() % ids.size()];
+    if (engine_restart_at.count(id) == 0) crash_engine(id);
   }
-  bool all_back () const {
-    return ends_at.empty() && back_at.empty();
+  bool all_restarted () const {
+    return crash_at.empty() && engine_restart_at.empty();
   }
 
   // }==
 
-  void later (Conn &c, const std::string &text, long delay, int end = 0) {
-    sending.push_back({&c, text, now_ms() + delay, end});
+  void send_later (Conn &c, const std::string &text, long delay,
+                   int end = 0) {
+    pending_sends.push_back({&c, text, now_ms() + delay, end});
   }
   void on_request (Conn &c, const Request &r, const std::string &engine) {
     std::string id = r.field("X-Attempt-Id");
-    bool bad = now_ms() < trouble.engines_until &&
-               chance(random, trouble.engine_part);
+    bool bad = now_ms() < faults.engines_until &&
+               chance(random, faults.engine_fraction);
     int kind = (int)(random() % 6);
     if (dead.count(engine)) {
       c.abort();
@@ -524,60 +565,67 @@
       c.send(answer(421, echo + "X-Not-Executed: 1\r\n", ""));
       return;
     }
-    arrived[engine]++;
-    checker.arrives(id, engine, read_since);
-    auto asked = checker.asked.find(id);
-    if (asked != checker.asked.end() && asked->second.gateway >= 0)
-      checker.heeds_rest(id, asked->second, engine, read_since, now_ms());
-    if (const Shedding *shedding = notices.sheds(engine, now_ms())) {
-      turn_away(c, id, engine, echo, *shedding);
+    engine_requests[engine]++;
+    checker.on_arrival(id, engine, previous_poll_at);
+    auto sent = checker.sent_requests.find(id);
+    if (sent != checker.sent_requests.end() && sent->second.gateway >= 0)
+      checker.check_backoff(id, sent->second, engine, previous_poll_at,
+                            now_ms());
+    if (const Shedding *shedding =
+            notices.active_shedding(engine, now_ms())) {
+      reject_with_backoff(c, id, engine, echo, *shedding);
       return;
     }
-    if (bad && kind == 0) { // full: it does not run
+    if (bad && kind == 0) { // rejected as by an engine without free slots
       c.send(answer(503, echo + "X-Not-Executed: 1\r\n", ""));
       return;
     }
-    checker.run(id, r.field("X-Tenant"), !r.field("Authorization").empty());
+    checker.on_execution(id, r.field("X-Tenant"),
+                         !r.field("Authorization").empty());
     std::string seal = echo + "X-Engine-Seal: s." + id + "\r\n";
-    if (deadly.count(r.body)) {
-      begin_deadly(id, r.body, engine);
+    if (poison_bodies.count(r.body)) {
+      start_poison(id, r.body, engine);
       return;
     }
     if (r.line().find("/gen/") != std::string::npos)
-      stream(c, r, id, seal, bad ? kind : 0);
+      send_stream(c, r, id, seal, bad ? kind : 0);
     else
-      plain(c, id, seal, bad ? kind : 0);
-  }
-  // It turns a request away and asks the gateway that sent it for rest.
-  void turn_away (Conn &c, const std::string &id, const std::string &engine,
-                  const std::string &echo, const Shedding &shedding) {
-    Notices::Rest rest = notices.rest();
-    std::string marks = shedding.marked ? "X-Not-Executed: 1\r\n" : "";
-    notices.note_asked(engine, now_ms());
-    checker.asks_rest(id, engine, now_ms(), rest.ms);
-    c.send(
-        answer(503, echo + marks + "Retry-After: " + rest.text + "\r\n", ""));
-  }
-  // An engine says in its answers that it leaves while the store shows it as
-  // ready; it ends after some time, and another has come.
-  void leave_in_answers (const std::string &service, long ms) {
+      send_plain(c, id, seal, bad ? kind : 0);
+  }
+  // Rejects a request with a Retry-After for the gateway that sent it.
+  void reject_with_backoff (Conn &c, const std::string &id,
+                            const std::string &engine,
+                            const std::string &echo,
+                            const Shedding &shedding) {
+    Notices::Backoff backoff = notices.backoff();
+    std::string marks = shedding.not_executed ? "X-Not-Executed: 1\r\n" : "";
+    notices.note_backoff(engine, now_ms());
+    checker.on_backoff_request(id, engine, now_ms(), backoff.ms);
+    c.send(answer(503, echo + marks + "Retry-After: " + backoff.text + "\r\n",
+                  ""));
+  }
+  // From now on a random engine sends Server-Leaving while the store lists it
+  // as ready; it is stopped after `ms`. A new engine is added for it at once.
+  void announce_leaving (const std::string &service, long ms) {
     auto &ids = ids_of(service);
-    std::string id = ids[random_of_notices() % ids.size()];
-    if (notices.leaves(id)) return;
+    std::string id = ids[notice_random() % ids.size()];
+    if (notices.is_leaving(id)) return;
     notices.leave(id, now_ms() + ms);
     add_engine(service);
   }
+  // A random engine, or all of a service, sheds load for `ms`.
   void shed_one (const std::string &service, long ms) {
     const auto &ids = ids_of(service);
-    const std::string &id = ids[random_of_notices() % ids.size()];
-    notices.shed(id, now_ms() + ms, random_of_notices() % 6 != 0);
+    const std::string &id = ids[notice_random() % ids.size()];
+    notices.shed(id, now_ms() + ms, notice_random() % 6 != 0);
   }
   void shed_all (const std::string &service, long ms) {
     for (const std::string &id : ids_of(service))
       notices.shed(id, now_ms() + ms, true);
   }
-  // Those that said so end: their entry goes, nobody answers any more.
-  void end_leaving () {
+  // Stops engines that have sent Server-Leaving for long enough: deletes
+  // their entries; requests to them are reset from then on.
+  void stop_leaving_engines () {
     for (auto it = notices.leaving.begin(); it != notices.leaving.end();) {
       std::string id = it->first;
       bool due = it->second <= now_ms();
@@ -590,41 +638,48 @@
       notices.forget(id);
     }
   }
-  // Requests at an engine whose answers are still to be sent.
+  // The number of an engine's connections with a reply still to be sent.
   int running (const std::string &id) const {
     std::set<const Conn *> busy;
-    for (const Sending &s : sending)
-      if (s.conn->listener == places.at(id)) busy.insert(s.conn);
+    for (const PendingSend &s : pending_sends)
+      if (s.conn->listener == engine_listeners.at(id)) busy.insert(s.conn);
     return (int)busy.size();
   }
-  // True when an engine of the service had room: listed for a second, asked
-  // nobody for rest lately, and not all its slots are taken.
-  bool has_room (const std::string &service, long now) {
+  // True if an engine of the service can take a request: it has been listed
+  // for LISTED_MIN_MS, has not asked for a backoff for BACKOFF_CLEAR_MS,
+  // longer than any that it asks for, and has a free slot.
+  bool has_capacity (const std::string &service, long now) {
     for (const std::string &id : ids_of(service)) {
-      long asked = notices.last_asked(id);
-      bool rests = asked != 0 && now - asked < ROOM_MS;
-      if (rests || notices.leaves(id) || notices.sheds(id, now)) continue;
-      if (now - listed_at[id] < LISTED_MS) continue;
+      long last = notices.last_backoff_at(id);
+      bool backing_off = last != 0 && now - last < BACKOFF_CLEAR_MS;
+      if (backing_off || notices.is_leaving(id) ||
+          notices.active_shedding(id, now))
+        continue;
+      if (now - listed_at[id] < LISTED_MIN_MS) continue;
       if (running(id) < SLOTS) return true;
     }
     return false;
   }
-  static const long ROOM_MS = 4500, LISTED_MS = 1000;
-  static const int SLOTS = 8; // as their entries say
-  Random random_of_notices;
+  static const long BACKOFF_CLEAR_MS = 4500, LISTED_MIN_MS = 1000;
+  static const int SLOTS = 8; // as in the engines' entries
+  Random notice_random;
 
-  void plain (Conn &c, const std::string &id, const std::string &seal,
-              int fault) {
+  void send_plain (Conn &c, const std::string &id, const std::string &seal,
+                   int fault) {
     std::string body = Checker::body_of(id);
     std::string whole = answer(200, seal, body);
     long delay = (long)(random() % 30);
     switch (fault) {
-      case 1: later(c, answer(500, seal, "broken"), delay); break;
-      case 2: later(c, "", delay, 2); break; // it ran, its answer is lost
-      case 3: later(c, whole.substr(0, whole.size() - 5), delay, 1); break;
-      case 4: later(c, whole + answer(200, seal, "surplus"), delay); break;
-      case 5: break; // it says nothing
-      default: later(c, whole, delay); break;
+      case 1: send_later(c, answer(500, seal, "broken"), delay); break;
+      case 2: send_later(c, "", delay, 2); break; // executed, but no reply
+      case 3:
+        send_later(c, whole.substr(0, whole.size() - 5), delay, 1);
+        break;
+      case 4:
+        send_later(c, whole + answer(200, seal, "surplus"), delay);
+        break;
+      case 5: break; // never replies
+      default: send_later(c, whole, delay); break;
     }
   }
   static std::string chunk (const std::string &text) {
@@ -632,15 +687,16 @@
     snprintf(size, sizeof size, "%zx\r\n", text.size());
     return size + text + "\r\n";
   }
-  void stream (Conn &c, const Request &r, const std::string &id,
-               const std::string &seal, int fault) {
+  // Streams the events after Last-Event-Id, the last one marked " end".
+  void send_stream (Conn &c, const Request &r, const std::string &id,
+                    const std::string &seal, int fault) {
     std::string from = r.field("Last-Event-Id");
     int first = from.empty() ? 0 : std::stoi(from) + 1;
     const int count = 6;
-    later(c,
-          "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" + seal +
-              "Transfer-Encoding: chunked\r\n\r\n",
-          1);
+    send_later(c,
+               "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" +
+                   seal + "Transfer-Encoding: chunked\r\n\r\n",
+               1);
     int broken = fault > 0 ? first + (int)(random() % count) : count + 1;
     long at = 5;
     for (int i = first; i < count; i++, at += (long)(random() % 20)) {
@@ -648,25 +704,26 @@
       if (i + 1 == count) text += " end";
       text = chunk(text + "\n\n");
       if (i < broken) {
-        later(c, text, at);
+        send_later(c, text, at);
         continue;
       }
       switch (fault) {
-        case 1: later(c, text.substr(0, text.size() / 2), at, 1); return;
-        case 2: later(c, "", at, 2); return;
-        case 3: later(c, "", at, 1); return;
-        case 4: later(c, text.substr(0, 6), at, 2); return;
-        default: return; // silence
+        case 1: send_later(c, text.substr(0, text.size() / 2), at, 1); return;
+        case 2: send_later(c, "", at, 2); return;
+        case 3: send_later(c, "", at, 1); return;
+        case 4: send_later(c, text.substr(0, 6), at, 2); return;
+        default: return; // sends no more, keeps the connection
       }
     }
-    later(c, "0\r\n\r\n", at);
+    send_later(c, "0\r\n\r\n", at);
   }
 
   // }==
 
   // {== Sockets
 
-  // A descriptor, or -1 when the port is taken; port 0 takes a free one.
+  // Returns a bound socket, or -1 if the port is taken; port 0 picks a free
+  // one.
   static int bind_at (int port) {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
     sockaddr_in a = loopback(port);
@@ -686,8 +743,8 @@
   }
   void send_due () {
     long now = now_ms();
-    std::vector<Sending> left;
-    for (Sending &s : sending) {
+    std::vector<PendingSend> left;
+    for (PendingSend &s : pending_sends) {
       if (s.at > now) {
         left.push_back(s);
         continue;
@@ -697,19 +754,21 @@
       if (s.end == 1) s.conn->close();
       if (s.end == 2) s.conn->abort();
     }
-    sending.swap(left);
+    pending_sends.swap(left);
   }
-  // What is read now came no earlier than that.
-  long read_since = 0, reads = 0;
+  // Times of the last two calls of pump(). Data that the current call reads
+  // arrived no earlier than the one before began to poll.
+  long previous_poll_at = 0, last_poll_at = 0;
 
-  // Reads what has come, answers what is due; waits some ms at most.
+  // One iteration of the event loop: reads what has arrived and sends what is
+  // due; waits 3 ms at most.
   void pump () {
-    read_since = reads;
-    reads = now_ms();
+    previous_poll_at = last_poll_at;
+    last_poll_at = now_ms();
     std::vector<pollfd> fds;
     std::vector<Conn *> open;
     for (Listener &l : listeners)
-      fds.push_back({l.fd, POLLIN, 0}); // < 0: none
+      fds.push_back({l.fd, POLLIN, 0}); // poll ignores a negative fd
     for (Conn &c : conns)
       if (c.fd >= 0) {
         fds.push_back({c.fd, POLLIN, 0});
@@ -722,12 +781,12 @@
     for (Conn *c : open)
       if (fds[i++].revents && c->fd >= 0) read_one(*c);
     send_due();
-    end_due();
-    end_leaving();
-    copy_now();
-    write_again();
-    tell();
-    forget_closed();
+    apply_due_crashes();
+    stop_leaving_engines();
+    copy_if_due();
+    rewrite_lost();
+    notify_watches();
+    erase_closed();
   }
   void accept_one (Listener &l) {
     int fd = accept4(l.fd, nullptr, nullptr, SOCK_CLOEXEC);
@@ -744,15 +803,15 @@
       return;
     }
     c.in.append(buf, (size_t)n);
-    if (c.listener == nullptr) return; // a caller's: read elsewhere
+    if (c.listener == nullptr) return; // a caller's; Soak parses the reply
     Request r;
     while (c.fd >= 0 && ::World::take(c.in, r))
       ((Listener *)c.listener)->handler(c, r);
   }
-  // Engines' and the store's connections; callers hold theirs.
-  void forget_closed () {
+  // Erases closed connections to engines and the store; callers erase theirs.
+  void erase_closed () {
     std::set<Conn *> used;
-    for (Sending &s : sending) used.insert(s.conn);
+    for (PendingSend &s : pending_sends) used.insert(s.conn);
     for (Watch &w : watches) used.insert(w.conn);
     for (auto it = conns.begin(); it != conns.end();) {
       bool done = it->fd < 0 && it->listener != nullptr && !used.count(&*it);
--- a/tests/store_refusal_test.cc
+++ b/tests/store_refusal_test.cc
@@ -30,22 +30,22 @@
 
 void run_case (const Case &row) {
   Fleet fleet(row.gateways);
-  ASSERT_TRUE(fleet.begins());
-  fleet.turn_away(0, row.refusal);
+  ASSERT_TRUE(fleet.wait_ready());
+  fleet.reject_store_calls(0, row.refusal);
   if (row.config_first) {
     fleet.world.configure();
-    ASSERT_TRUE(fleet.watchers_go_on());
+    ASSERT_TRUE(fleet.watchers_caught_up());
   }
-  std::string engine = fleet.world.plains[0];
+  std::string engine = fleet.world.plain_engines[0];
   fleet.world.retire("plain", engine, row.end == Removal::Drained);
   std::string known = "engine=" + engine;
   known += row.end == Removal::Drained ? " outcome=leaving" : " outcome=gone";
-  ASSERT_TRUE(fleet.until([&] { return fleet.said(1, known); }));
-  ASSERT_TRUE(fleet.until([&] { return fleet.said(0, known); }));
-  fleet.world.arrived.clear();
+  ASSERT_TRUE(fleet.until([&] { return fleet.logged(1, known); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.logged(0, known); }));
+  fleet.world.engine_requests.clear();
   for (int i = 0; i < 20; i++)
     EXPECT_EQ(fleet.ask(0, "/safe/x", "key-w1"), 200);
-  EXPECT_EQ(fleet.world.arrived[engine], 0);
+  EXPECT_EQ(fleet.world.engine_requests[engine], 0);
 }
 
 TEST(StoreRefusal, SendsNothingToRemovedEngines) {
@@ -66,18 +66,18 @@
   for (int gateways : {3, 10}) {
     SCOPED_TRACE(gateways);
     Fleet fleet(gateways);
-    ASSERT_TRUE(fleet.begins());
-    fleet.turn_away(0, 0);
+    ASSERT_TRUE(fleet.wait_ready());
+    fleet.reject_store_calls(0, 0);
     for (const char *outcome : {"begun", "over"}) {
       fleet.world.evacuate("d2");
       std::string line =
           std::string("evacuation domain=d2 outcome=") + outcome;
-      ASSERT_TRUE(fleet.until([&] { return fleet.said(1, line); }));
-      ASSERT_TRUE(fleet.until([&] { return fleet.said(0, line); }));
-      fleet.world.arrived.clear();
+      ASSERT_TRUE(fleet.until([&] { return fleet.logged(1, line); }));
+      ASSERT_TRUE(fleet.until([&] { return fleet.logged(0, line); }));
+      fleet.world.engine_requests.clear();
       for (int i = 0; i < 20 && outcome[0] == 'b'; i++)
         EXPECT_EQ(fleet.ask(0, "/safe/x", "key-w1"), 200);
-      for (auto &row : fleet.world.arrived)
+      for (auto &row : fleet.world.engine_requests)
         EXPECT_NE(fleet.world.checker.engines[row.first].domain, "d2");
     }
   }
@@ -89,7 +89,7 @@
   for (int gateways : {3, 10}) {
     SCOPED_TRACE(gateways);
     Fleet fleet(gateways);
-    ASSERT_TRUE(fleet.begins());
+    ASSERT_TRUE(fleet.wait_ready());
     std::string key = fleet.world.keys.back();
     struct Row {
       std::string path, key, workspace;
@@ -99,19 +99,19 @@
     for (const Row &row : rows)
       EXPECT_EQ(fleet.ask(0, row.path, row.key, row.workspace), 200)
           << row.path;
-    fleet.turn_away(0, 0);
+    fleet.reject_store_calls(0, 0);
     fleet.world.configure();
     ASSERT_TRUE(fleet.until([&] {
-      return fleet.said(1, "configuration version=3 outcome=in-force");
+      return fleet.logged(1, "configuration version=3 outcome=in-force");
     }));
     for (const Row &row : rows)
       EXPECT_TRUE(fleet.until([&] {
         return fleet.ask(0, row.path, row.key, row.workspace) == 503;
       })) << row.path;
     EXPECT_EQ(fleet.ask(0, "/safe/x", "key-w1"), 200);
-    fleet.world.refusals[0] = soak::Refusal();
+    fleet.world.rejections[0] = soak::Rejection();
     ASSERT_TRUE(fleet.until([&] {
-      return fleet.said(0, "configuration version=3 outcome=in-force");
+      return fleet.logged(0, "configuration version=3 outcome=in-force");
     }));
     EXPECT_EQ(fleet.ask(0, "/side/x", "key-w1"), 200);
     EXPECT_EQ(fleet.ask(0, "/safe/x", key, "w2"), 401);
@@ -123,23 +123,23 @@
 // still announce.
 TEST(StoreRefusal, RefusesAdditionsOfASkippedVersion) {
   Fleet fleet(3);
-  ASSERT_TRUE(fleet.begins());
-  fleet.turn_away(1, 0);
-  fleet.turn_away(2, 0);
+  ASSERT_TRUE(fleet.wait_ready());
+  fleet.reject_store_calls(1, 0);
+  fleet.reject_store_calls(2, 0);
   fleet.world.configure();
   ASSERT_TRUE(fleet.until([&] {
-    return fleet.said(0, "configuration version=3 outcome=in-force");
+    return fleet.logged(0, "configuration version=3 outcome=in-force");
   }));
   std::string key = fleet.world.keys.back();
   ASSERT_EQ(fleet.ask(0, "/v3/x", "key-w1"), 200);
   ASSERT_EQ(fleet.ask(0, "/safe/x", key, "w2"), 200);
-  fleet.turn_away(0, 0);
+  fleet.reject_store_calls(0, 0);
   fleet.world.configure();
-  fleet.world.refusals[1] = soak::Refusal();
+  fleet.world.rejections[1] = soak::Rejection();
   ASSERT_TRUE(fleet.until([&] {
-    return fleet.said(1, "configuration version=4 outcome=in-force");
+    return fleet.logged(1, "configuration version=4 outcome=in-force");
   }));
-  EXPECT_FALSE(fleet.said(1, "configuration version=3 outcome=in-force"));
+  EXPECT_FALSE(fleet.logged(1, "configuration version=3 outcome=in-force"));
   EXPECT_TRUE(
       fleet.until([&] { return fleet.ask(0, "/v3/x", "key-w1") == 503; }));
   EXPECT_TRUE(
