--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -293,22 +293,22 @@
   mt_gateway_t *g = ud;
   tick_soon(g);
   const mt_http_headers_t *headers = mt_http_exchange_headers(x);
-  mt_relay_incoming_t ask = {.deadline_ms = -1, .last_event = -1};
+  mt_relay_incoming_t incoming = {.deadline_ms = -1, .last_event = -1};
   inflight_t *p = mtV_new(sizeof *p);
   p->gateway = g;
   p->number = ++g->next_number;
   p->exchange = x;
   mt_http_exchange_set_user(x, p);
   mtV_put(&g->inflight_by_number, p->number, p);
-  ask.host = mt_http_headers_find(headers, "host");
-  ask.path = path_of(mt_http_exchange_target(x));
-  const mt_request_text_t text = {mt_http_exchange_method(x), ask.host,
+  incoming.host = mt_http_headers_find(headers, "host");
+  incoming.path = path_of(mt_http_exchange_target(x));
+  const mt_request_text_t text = {mt_http_exchange_method(x), incoming.host,
                                   mt_http_exchange_target(x),
                                   mt_http_exchange_body(x)};
-  ask.digest = mt_request_digest(&text);
-  g->dialect->read_request(headers, &ask);
+  incoming.digest = mt_request_digest(&text);
+  g->dialect->read_request(headers, &incoming);
   mt_relay_event_t event = {.kind = MT_RELAY_REQUEST, .request = p->number};
-  event.u.ask = &ask;
+  event.u.incoming = &incoming;
   mt_gateway_step(g, &event);
 }
 
--- a/src/relay/candidates.c
+++ b/src/relay/candidates.c
@@ -30,7 +30,7 @@
   if (e->service != r->service || !mt_engine_takes_work(e, relay->now))
     return false;
   if (e->unreachable || e->evacuated) return false;
-  if (e->suspended_until > relay->now && !relay->params.off[MT_RELAY_REST])
+  if (e->suspended_until > relay->now && !relay->params.off[MT_RELAY_SUSPEND])
     return false;
   return !was_tried(r, e->key);
 }
@@ -79,13 +79,13 @@
 */
 static void find_homes (const mt_relay_t *relay, const mt_relay_request_t *r,
                         uint64_t except, home_t *global, home_t *local) {
-  uint64_t part = mt_kv_cache_home_segment(r->segments, r->segments_count);
+  uint64_t segment = mt_kv_cache_home_segment(r->segments, r->segments_count);
   *global = *local = (home_t){NULL, 0};
-  if (part == 0 || relay->params.off[MT_RELAY_HOME]) return;
+  if (segment == 0 || relay->params.off[MT_RELAY_HOME]) return;
   for (size_t i = 0; i < relay->engines.count; i++) {
     const mt_engine_t *e = relay->engines.list[i];
     if (e->key == except || !may_be_home(relay, r, e)) continue;
-    uint64_t weight = mtV_mix(part, e->key);
+    uint64_t weight = mtV_mix(segment, e->key);
     keep_heaviest(global, e, weight);
     if (!e->remote) keep_heaviest(local, e, weight);
   }
@@ -105,6 +105,7 @@
          mt_candidates_usable(relay, r, e);
 }
 
+/* The engine with this key if its owner may be asked about it, or NULL. */
 static const mt_engine_t *may_ask_key (const mt_relay_t *relay,
                                        const mt_relay_request_t *r,
                                        uint64_t key) {
@@ -147,8 +148,8 @@
   return false;
 }
 
-/* The least loaded failure domain of those that may have room and are not
-   asked in this round; NULL: none. */
+/* The least loaded remote failure domain of those that may have room and are
+   not asked in this round; NULL: none. */
 static const mt_domain_load_t *next_domain (mt_relay_t *relay,
                                             const mt_relay_request_t *r) {
   const mt_domain_load_t *best = NULL;
@@ -168,15 +169,15 @@
    without segments any engine there. */
 static const mt_engine_t *next_remote_home (mt_relay_t *relay,
                                             const mt_relay_request_t *r) {
-  uint64_t part = mt_kv_cache_home_segment(r->segments, r->segments_count);
+  uint64_t segment = mt_kv_cache_home_segment(r->segments, r->segments_count);
   const mt_domain_load_t *load = next_domain(relay, r);
   home_t home = {NULL, 0};
-  if (part == 0) part = r->number;
+  if (segment == 0) segment = r->number;
   for (size_t i = 0; load != NULL && i < relay->engines.count; i++) {
     const mt_engine_t *e = relay->engines.list[i];
     if (!e->remote || e->domain_id != load->domain) continue;
     if (!may_ask(relay, r, e)) continue;
-    keep_heaviest(&home, e, mtV_mix(part, e->key));
+    keep_heaviest(&home, e, mtV_mix(segment, e->key));
   }
   return home.engine;
 }
@@ -184,8 +185,8 @@
 /* }== */
 
 /*
-** True if a cold engine is among the candidates. It may grant no permit, so
-** no further ones take the slots of warm engines in the round.
+** True if a cold engine is among the candidates. Its owner may grant no
+** permit, so no further cold engine is sampled in place of a warm one.
 */
 static bool has_cold_candidate (const mt_relay_t *relay,
                                 const mt_relay_request_t *r) {
--- a/src/relay/candidates.h
+++ b/src/relay/candidates.h
@@ -13,28 +13,29 @@
 
 #include "relay.h"
 
-/* True if the engine takes work and the request has not been sent to it. */
+/* True if the engine is of the request's service, takes work and has not been
+   tried for the request. */
 bool mt_candidates_usable (const mt_relay_t *relay,
                            const mt_relay_request_t *request,
                            const mt_engine_t *engine);
 
 /*
-** Time in ms until the first backoff of the service's engines is over; 0: an
-** engine is not in backoff, or there is none.
+** Time in ms until the first backoff of the service's engines is over; 0: one
+** of them is not in backoff, or none is available.
 */
 mt_ms_t mt_candidates_backoff_left (const mt_relay_t *relay,
                                     const mt_relay_request_t *request);
 
-/* Sets the homes of the request's shared segments, among the present engines.
- */
+/* Sets the homes of the request's shared segments, among the engines known
+   now. */
 void mt_candidates_find_homes (mt_relay_t *relay,
                                mt_relay_request_t *request);
 
 /*
-** The next engine to ask for a quote, or NULL: in the first round homes and
+** The next engine to get a quote for, or NULL: in the first round homes and
 ** then other engines of the local failure domain, in the second the homes in
-** remote domains that may have room. Never one that
-** is among the request's candidates.
+** remote domains that may have room. Never one that is among the request's
+** candidates.
 */
 const mt_engine_t *mt_candidates_next (mt_relay_t *relay,
                                        const mt_relay_request_t *request);
--- a/src/relay/cold_start.c
+++ b/src/relay/cold_start.c
@@ -6,15 +6,16 @@
 
 #include "cold_start.h"
 
-/* From asking for a permit until the request arrives at the engine: validity
-   of the permit, and the messages to and from the owner and to the engine. */
+/* Longest time from asking for a permit until the request arrives at the
+   engine: the validity of the permit, and the delays of the messages to and
+   from the owner and of the request. */
 #define PERMIT_TIME_MS (MT_COLD_PERMIT_MS + 30)
-/* Part of the declared bound that is granted; the rest is for requests that
-   were on their way when the engine became cold. */
-#define BOUND_PART 0.85
-#define BURST_PART 0.5  /* of the slack: capacity of the bucket */
-#define FORGET_MS 10000 /* warm engines are forgotten after this */
-#define SWEEP_MS 1000
+/* Fraction of the declared bound that is granted; the rest is for requests
+   that were on their way when the engine became cold. */
+#define BOUND_FRACTION 0.85
+#define BURST_FRACTION 0.5 /* of the slack: capacity of the bucket */
+#define FORGET_MS 10000    /* engines warm for this long are removed */
+#define SWEEP_MS 1000      /* between removals */
 
 typedef struct bucket_t {
   mt_ms_t cold_until;
@@ -67,8 +68,8 @@
 */
 static void refill (bucket_t *b, double rate, const mt_cold_params_t *params,
                     double fraction, mt_ms_t now) {
-  double bound = BOUND_PART * (rate * params->overage + params->slack);
-  double burst = fmax(params->slack * BURST_PART, 1);
+  double bound = BOUND_FRACTION * (rate * params->overage + params->slack);
+  double burst = fmax(params->slack * BURST_FRACTION, 1);
   double per_s = (bound - burst) / (1 + PERMIT_TIME_MS / 1000.0);
   b->capacity = fmax(burst * fraction, 1);
   if (b->refilled == 0)
--- a/src/relay/cold_start.h
+++ b/src/relay/cold_start.h
@@ -12,9 +12,10 @@
 ** messages lost, an engine got 38 requests in one second where 19.7 were
 ** allowed.
 **
-** While the network is partitioned several routers may believe to own an
-** engine. Each grants only that fraction of the bucket that the routers it
-** can reach are of all it knows, so all partitions together grant one bucket.
+** While the network is partitioned, several routers may each count as owner
+** of an engine. Each grants a fraction of the bucket: the number of routers
+** that it can reach, itself included, over the number that it knows. So all
+** partitions together grant one bucket.
 */
 #ifndef cold_start_h
 #define cold_start_h
--- a/src/relay/event_stream.h
+++ b/src/relay/event_stream.h
@@ -21,10 +21,10 @@
   int64_t id; /* -1: it has none */
 } mt_stream_event_t;
 
-/* Appends input; false if more than MT_EVENT_MAX bytes are pending. */
+/* Appends input; false if it would exceed MT_EVENT_MAX pending bytes. */
 bool mt_event_stream_feed (mt_event_stream_t *stream, const char *p,
                            size_t n);
-/* Returns the next complete event; false if there is none yet. */
+/* Sets `event` to the next complete event; false if there is none yet. */
 bool mt_event_stream_next (mt_event_stream_t *stream,
                            mt_stream_event_t *event);
 /* True if part of an event is pending. */
--- a/src/relay/placement.c
+++ b/src/relay/placement.c
@@ -15,7 +15,8 @@
 #define FAILURE_PENALTY_MS 50.0     /* per failure in a row */
 #define REJECTION_PENALTY_MS 2000.0 /* times the rejection rate */
 #define RUNNING_PENALTY_MS 1.0 /* per running request, each slows others */
-#define ROOM_POWER 3 /* room falls with the service ratio's third power */
+/* near_idle_fraction falls with this power of the service ratio. */
+#define NEAR_IDLE_POWER 3
 /* A workspace is refused if its service ratio is above the first value and
    above the second times that of the least served backlogged workspace. Both
    are well below the guaranteed bound of 2, since routers receive each
@@ -24,7 +25,8 @@
 #define OVER_MIN_RATIO 1.25
 /* Beyond the wait limit the request would be refused. */
 #define OVER_LIMIT_PENALTY_MS 2500.0
-/* The load of a failure domain is used for this long; then it is asked. */
+/* The load of a failure domain is used for this long; when it is older the
+   domain is asked again. */
 #define DOMAIN_LOAD_VALID_MS 2000
 
 static int running (const mt_engine_t *e) {
@@ -45,12 +47,13 @@
 /*
 ** How much prefix locality is relaxed for a request, 0 to 1: 1 for a
 ** workspace that was served nothing, 0 for the one with the highest service
-** ratio. Prefill that an engine with the segments cached would not need
-** delays the work of all workspaces.
+** ratio: prefill that an engine with the segments cached would not need
+** delays the work of all workspaces, so workspaces that had their share keep
+** to such engines.
 */
 static double relaxation_of (mt_relay_t *relay, const mt_relay_request_t *r) {
   double max_service_ratio = fmax(relay->shares.max_service_ratio, 1);
-  if (relay->params.off[MT_RELAY_OWED]) return 0;
+  if (relay->params.off[MT_RELAY_RELAX_LOCALITY]) return 0;
   return fmin(fmax(1 - service_ratio_of(relay, r) / max_service_ratio, 0), 1);
 }
 
@@ -72,9 +75,9 @@
     limit *=
         pow((double)shortest / (double)r->objective, params->objective_power);
   if (service_ratio > 1)
-    limit *=
-        fmax(pow(service_ratio, -params->over_share_power),
-             params->near_idle_fraction * pow(service_ratio, -ROOM_POWER));
+    limit *= fmax(pow(service_ratio, -params->over_share_power),
+                  params->near_idle_fraction *
+                      pow(service_ratio, -NEAR_IDLE_POWER));
   return limit;
 }
 
@@ -94,7 +97,7 @@
   const mt_relay_request_t *request;
   const mt_catalog_service_t *service; /* of a language model, or NULL */
   mt_prefill_model_t prefill;
-  /* The engine to fetch from, and the tokens that it has cached; or NULL. */
+  /* Engine to fetch KV cache from, or NULL; prompt tokens cached there. */
   mt_engine_t *source;
   int64_t source_tokens;
   int64_t unshared; /* tokens of the last segment */
@@ -151,7 +154,7 @@
   int64_t weighted = is_home ? mt_min(miss, c->unshared) : miss;
   double per_token = c->prefill.ms_per_token * e->slowness;
   double wait = (double)pending_prefill(e) * per_token;
-  double read = (double)miss * per_token;
+  double prefill = (double)miss * per_token;
   bool full = running(e) >= e->slots;
   int64_t held = e->local.held + e->peers.held + miss;
   double cost = wait + (double)weighted * per_token * c->miss_factor;
@@ -169,15 +172,15 @@
                         .miss = miss,
                         .wait_ms = wait,
                         .ttft_ms =
-                            c->prefill.fixed_ms + wait + read + fetch.ms,
+                            c->prefill.fixed_ms + wait + prefill + fetch.ms,
                         .full = full,
                         .home = e->key == r->home_global,
                         .fetch = fetch};
   return cost;
 }
 
-/* Fraction of the slots in use with this request; for a remote engine half a
-   slot more. */
+/* Fraction of the slots in use with this request, for a remote engine half a
+   slot more; plus the engine's failures in a row. */
 static double slot_cost (const costs_t *c, mt_engine_t *e,
                          mt_placement_t *p) {
   double slots = mt_max(e->slots, 1);
@@ -261,8 +264,8 @@
 static bool is_far_over_share (mt_relay_t *relay,
                                const mt_relay_request_t *r) {
   double min_service_ratio = relay->shares.min_service_ratio;
-  double most = fmax(OVER_LEVEL_RATIO, OVER_MIN_RATIO * min_service_ratio);
-  return min_service_ratio > 0 && service_ratio_of(relay, r) > most;
+  double limit = fmax(OVER_LEVEL_RATIO, OVER_MIN_RATIO * min_service_ratio);
+  return min_service_ratio > 0 && service_ratio_of(relay, r) > limit;
 }
 
 bool mt_placement_admits (mt_relay_t *relay, const mt_relay_request_t *r,
@@ -271,7 +274,7 @@
       mt_catalog_find_service(relay->catalog, r->service);
   *why = service_ratio_of(relay, r) > 1 ? MT_RELAY_OVER_SHARE : MT_RELAY_BUSY;
   if (service == NULL || !service->model)
-    return true; /* its engines reject */
+    return true; /* its engines reject what they have no room for */
   if (p->full || is_far_over_share(relay, r)) return false;
   double limit = wait_limit(relay, r, service);
   if (p->engine->remote && r->rounds > 1)
--- a/src/relay/quotes.c
+++ b/src/relay/quotes.c
@@ -9,8 +9,10 @@
 #define AVG_DECAY 0.95       /* weight of the old average against one quote */
 #define ROUNDS_MAX 2         /* local failure domain, then remote ones */
 #define REMOTE_DOMAINS_MAX 2 /* failure domains asked in the second round */
-#define FRESH_MS 250   /* a quote's load is used unchanged for this long */
-#define DECAY_PART 0.2 /* of the distance to the average, per update */
+/* The load of a quote is used unchanged for this long; then it decays towards
+   the average of the service. */
+#define FRESH_MS 250
+#define DECAY_FRACTION 0.2 /* of the distance to the average, per update */
 
 const mt_relay_candidate_t *mt_quotes_find (const mt_relay_request_t *r,
                                             uint64_t engine) {
@@ -38,9 +40,9 @@
     return false;
   if (r->rounds >= ROUNDS_MAX) return false;
   if (relay->params.off[MT_RELAY_QUOTES]) return false;
-  if (r->rounds > 0 && relay->params.off[MT_RELAY_FAR_ROUND]) return false;
-  int most = r->rounds > 0 ? REMOTE_DOMAINS_MAX : MT_RELAY_ROUND_MAX;
-  for (int i = 0; i < most; i++) {
+  if (r->rounds > 0 && relay->params.off[MT_RELAY_REMOTE_ROUND]) return false;
+  int limit = r->rounds > 0 ? REMOTE_DOMAINS_MAX : MT_RELAY_ROUND_MAX;
+  for (int i = 0; i < limit; i++) {
     const mt_engine_t *e = mt_candidates_next(relay, r);
     if (e == NULL) break;
     add_candidate(r, e);
@@ -58,8 +60,8 @@
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
   double pending_prefill = (double)load->pending_prefill,
          running = load->running;
-  s->avg_unread =
-      s->avg_unread * AVG_DECAY + pending_prefill * (1 - AVG_DECAY);
+  s->avg_pending_prefill =
+      s->avg_pending_prefill * AVG_DECAY + pending_prefill * (1 - AVG_DECAY);
   s->avg_running = s->avg_running * AVG_DECAY + running * (1 - AVG_DECAY);
 }
 
@@ -104,7 +106,9 @@
     double pending_prefill = (double)e->peers.pending_prefill;
     double running = e->peers.running;
     e->peers.pending_prefill +=
-        (int64_t)((s->avg_unread - pending_prefill) * DECAY_PART);
-    e->peers.running += (int32_t)((s->avg_running - running) * DECAY_PART);
+        (int64_t)((s->avg_pending_prefill - pending_prefill) *
+                  DECAY_FRACTION);
+    e->peers.running +=
+        (int32_t)((s->avg_running - running) * DECAY_FRACTION);
   }
 }
--- a/src/relay/quotes.h
+++ b/src/relay/quotes.h
@@ -1,10 +1,10 @@
 /*
 ** quotes.h - asks owners of engines for quotes before a request is placed
 **
-** The owner of an engine is the router that adds up what all routers have
-** there (load_table.h). A router asks the owners of a few engines that suit a
-** request and places it by their quotes; without quotes in time it places the
-** request by what it knows itself.
+** The owner of an engine is the router that adds up the load that all routers
+** put on it (load_table.h). A router asks the owners of a few engines that
+** suit a request and places it by their quotes; without quotes in time it
+** places the request by its own data.
 */
 #ifndef quotes_h
 #define quotes_h
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -16,8 +16,8 @@
 
 #define UPDATE_MS 100   /* between updates of fair shares and engines */
 #define OUTPUT_WEIGHT 2 /* cost of a completion token; a prompt token: 1 */
-/* After STOP, streams are taken for this long: the balancer may still send
-   callers. */
+/* After STOP, new streams are accepted for this long: the load balancer may
+   still send callers. */
 #define STREAM_GRACE_MS 2000
 
 /* {== Requests and quotes ============================================== */
@@ -129,8 +129,8 @@
 }
 
 /*
-** A stopping router takes streams only while the balancer may still send
-** callers, and other requests only if they expire before it exits.
+** A stopping router accepts streams only while the load balancer may still
+** send callers, and other requests only if they expire before it exits.
 */
 static bool is_too_late_to_start (const mt_relay_t *relay,
                                   const mt_relay_request_t *r) {
@@ -140,7 +140,7 @@
   return r->expires > relay->stop_until;
 }
 
-/* Starts a round of quotes; false if there is nobody to ask. */
+/* Starts a round of quotes; false if no owner is to be asked. */
 static bool request_quotes (mt_relay_t *relay, mt_relay_request_t *r) {
   if (!mt_quotes_ask(relay, r)) return false;
   r->phase = MT_RELAY_AWAITING_QUOTES;
@@ -183,11 +183,11 @@
   if (!request_quotes(relay, r)) mt_request_refuse(relay, r, why);
 }
 
-/* Asks for quotes, or places the request at once if nobody is to be asked. */
+/* Asks for quotes; places the request at once if no owner is to be asked. */
 static void find_engine (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_candidates_find_homes(relay, r);
   if (request_quotes(relay, r)) return;
-  r->rounds = mt_max(r->rounds, 1); /* none in the local domain */
+  r->rounds = mt_max(r->rounds, 1); /* no owner to ask in the local domain */
   if (!request_quotes(relay, r)) place(relay, r);
 }
 
@@ -293,7 +293,8 @@
 
 /* {== Engines that restart ============================================= */
 
-/* The connection may still look open, if the whole machine went down. */
+/* The attempt is cancelled, as its connection may still look open if the
+   whole box went down. */
 static void lose_run (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_request_effect(relay, MT_RELAY_DO_CANCEL, r);
   mt_attempt_lost(relay, r, MT_RELAY_RETRY_LOST);
@@ -426,7 +427,7 @@
 static void on_attempt_event (mt_relay_t *relay, mt_relay_request_t *r,
                               const mt_relay_event_t *ev) {
   if (r->engine == NULL || ev->attempt != r->attempt)
-    return; /* of an earlier one */
+    return; /* of an earlier attempt */
   switch (ev->kind) {
     case MT_RELAY_WRITTEN: r->written = true; break;
     case MT_RELAY_HEAD: mt_response_head(relay, r, ev); break;
@@ -450,7 +451,9 @@
       relay->stop_since = relay->now;
       relay->stop_until = relay->now + ev->u.stop_ms;
       break;
-    case MT_RELAY_REQUEST: on_request(relay, ev->request, ev->u.ask); break;
+    case MT_RELAY_REQUEST:
+      on_request(relay, ev->request, ev->u.incoming);
+      break;
     case MT_RELAY_CALLER_DISCONNECTED:
       if (r != NULL) on_caller_disconnected(relay, r);
       break;
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -105,8 +105,8 @@
   uint64_t drains_gossiped;  /* draining engines known from gossip only */
   uint64_t drains, backoffs; /* advertised by engines to this router */
   uint64_t runs_lost;        /* attempts lost as their engine exited */
-  uint64_t
-      trials[MT_TRIAL_COUNT]; /* owners' replies to requests on probation */
+  /* Owners' replies to requests on probation. */
+  uint64_t trials[MT_TRIAL_COUNT];
   uint64_t quotes_asked, quotes_late;  /* rounds: sent, timed out */
   uint64_t admissions[MT_ADMIT_COUNT]; /* quotes received, by admission */
 } mt_relay_counters_t;
@@ -174,7 +174,7 @@
   uint64_t request; /* number that the adapter gave it */
   int attempt;
   union {
-    const mt_relay_incoming_t *ask; /* REQUEST */
+    const mt_relay_incoming_t *incoming; /* REQUEST */
     struct {
       int status;
       mt_relay_verdict_t verdict;
@@ -194,7 +194,7 @@
     struct {
       const mt_suspect_message_t *message; /* the question it replies to */
       mt_trial_verdict_t verdict;
-    } tried;
+    } tried; /* TRIAL_ANSWERED */
     struct {
       uint64_t engine;
       mt_engine_notice_t advertises;
@@ -298,8 +298,8 @@
   bool repeatable, resumable;
   int attempts_max; /* engines that may receive it */
   mt_id_t route, service, workspace;
-  /* Latency objective of the response, or time to first token of a stream;
-     longest pause between stream events. */
+  /* Latency objective: for the whole response, or for the time to first token
+     of a stream; target for the time between stream events. */
   mt_ms_t objective, pause;
   mt_ms_t arrived, expires, deadline; /* deadline: not used */
   /* From the incoming request; cost: weighted tokens that its workspace is
@@ -324,8 +324,10 @@
   /* Number of attempts, and of those that may have reached an engine. */
   int attempt, attempts_sent;
   bool written; /* bytes of it may have reached the engine */
-  /* framed: by this engine; framed_to_caller: in the forwarded head; charged:
-     the cost, to the workspace. */
+  /* awaiting_event: the prompt counts as not prefilled yet; may_have_run: an
+     earlier attempt; events: the response is a text/event-stream; framed: by
+     this engine; framed_to_caller: in the forwarded head; charged: the cost,
+     to the workspace. */
   bool awaiting_event, may_have_run, events, framed, framed_to_caller,
       charged;
   int64_t pending_prefill, held; /* its part of the engine's load */
@@ -346,13 +348,13 @@
   size_t body_size, body_cap;
 } mt_relay_request_t;
 
-/* What this router has measured of a service's engines. */
+/* This router's measurements of a service's engines, and its retry budget. */
 typedef struct mt_relay_service_t {
   mt_id_t id;
-  mt_prefill_time_t read_time;
+  mt_prefill_time_t prefill_time;
   mt_retry_budget_t budget;
-  int ready;                      /* engines, as last counted */
-  double avg_unread, avg_running; /* smoothed load, from home quotes */
+  int ready; /* available engines, as last counted */
+  double avg_pending_prefill, avg_running; /* at homes, smoothed */
 } mt_relay_service_t;
 
 /*
@@ -373,15 +375,15 @@
   /* Owners are asked for quotes. */                                      \
   ROW(MT_RELAY_QUOTES, "quotes")                                          \
   /* When the local failure domain is full, remote ones are asked. */     \
-  ROW(MT_RELAY_FAR_ROUND, "far_round")                                    \
+  ROW(MT_RELAY_REMOTE_ROUND, "far_round")                                 \
   /* Quotes name engines that cache segments away from their home. */     \
   ROW(MT_RELAY_HOLDERS, "holders")                                        \
   /* Cached tokens count less for workspaces with a low service ratio. */ \
-  ROW(MT_RELAY_OWED, "owed")                                              \
-  /* The speed of each engine is measured. */                             \
+  ROW(MT_RELAY_RELAX_LOCALITY, "owed")                                    \
+  /* The slowness of each engine is measured. */                          \
   ROW(MT_RELAY_SLOWNESS, "slowness")                                      \
-  /* Failing engines get no work for a while. */                          \
-  ROW(MT_RELAY_REST, "rest")                                              \
+  /* Engines that fail repeatedly get no work for a while. */             \
+  ROW(MT_RELAY_SUSPEND, "rest")                                           \
   /* Connections to unreachable engines are tested without a request. */  \
   ROW(MT_RELAY_PROBE, "probe")
 
@@ -544,9 +546,9 @@
                                  size_t count);
 
 /*
-** The owner's admission of one request to the engine. `is_owner`: no router
-** that this one receives messages from owns the engine; otherwise it grants
-** no permits.
+** The owner's admission of one request to the engine. `is_owner`: this router
+** owns the engine also if suspected routers count as owners; otherwise it
+** grants no permits, since a suspected owner may still grant them.
 */
 mt_admission_t mt_relay_admission (mt_relay_t *relay, uint64_t engine,
                                    bool is_owner);
--- a/src/relay/relay_load.c
+++ b/src/relay/relay_load.c
@@ -20,7 +20,8 @@
 #define SLOWNESS_RECOVERY 0.998 /* of the distance to 1 left per update */
 /* Without probes an unreachable engine gets no request for this long. */
 #define UNPROBED_WAIT_MS 800
-#define FORGET_MS 10000 /* gone engines are removed after this */
+/* A gone engine, with the record of its cache, is kept for this long. */
+#define FORGET_MS 10000
 
 /* {== Services ========================================================= */
 
@@ -46,8 +47,8 @@
   mt_relay_service_t *s = mt_relay_service(relay, service);
   double declared = declared_rate(relay, s);
   if (relay->params.off[MT_RELAY_FIXED_PART])
-    return mt_prefill_time_fit_ratio(&s->read_time, declared);
-  return mt_prefill_time_fit(&s->read_time, declared);
+    return mt_prefill_time_fit_ratio(&s->prefill_time, declared);
+  return mt_prefill_time_fit(&s->prefill_time, declared);
 }
 
 double mt_relay_prefill_rate (mt_relay_t *relay, mt_id_t service) {
@@ -57,14 +58,15 @@
 void mt_relay_learn_prefill (mt_relay_t *relay, mt_relay_request_t *r) {
   mt_relay_service_t *s = mt_relay_service(relay, r->service);
   double took = mt_max((double)(relay->now - r->sent), 1.0);
-  mt_prefill_model_t line = mt_relay_prefill_time(relay, r->service);
-  double expected = line.fixed_ms + (double)r->work_ahead * line.ms_per_token;
-  mt_prefill_time_add(&s->read_time, (double)r->work_ahead, took);
-  double seen = took / mt_max(expected, 1.0);
+  mt_prefill_model_t model = mt_relay_prefill_time(relay, r->service);
+  double expected =
+      model.fixed_ms + (double)r->work_ahead * model.ms_per_token;
+  mt_prefill_time_add(&s->prefill_time, (double)r->work_ahead, took);
+  double ratio = took / mt_max(expected, 1.0);
   if (relay->params.off[MT_RELAY_SLOWNESS]) return;
-  if (expected < (double)r->objective / 8) return; /* mostly constant */
+  if (expected < (double)r->objective / 8) return; /* mostly constant term */
   mt_engine_t *e = r->engine;
-  e->slowness = e->slowness * SLOWNESS_DECAY + seen * (1 - SLOWNESS_DECAY);
+  e->slowness = e->slowness * SLOWNESS_DECAY + ratio * (1 - SLOWNESS_DECAY);
   e->slowness = fmin(fmax(e->slowness, SLOWNESS_MIN), SLOWNESS_MAX);
 }
 
@@ -152,8 +154,8 @@
 
 /*
 ** No request is sent to an unreachable engine: waiting for the connection
-** could take as long as its whole objective. The router tests the connection
-** without a request.
+** could take as long as the request's whole latency objective. The router
+** tests the connection without a request.
 */
 static void probe_engines (mt_relay_t *relay) {
   for (size_t i = 0; i < relay->engines.active_count; i++) {
@@ -216,7 +218,7 @@
   mt_engine_load_t all =
       mt_load_table_sum(&relay->router_loads, engine, 0, relay->now);
   if (router != 0) {
-    /* A peer asks: this router's own load is another's, too. */
+    /* For the peer that asks, this router's own load is a peer's, too. */
     quote.peers.pending_prefill += e->local.pending_prefill;
     quote.peers.held += e->local.held;
     quote.peers.running += e->local.running;
--- a/src/relay/relay_load.h
+++ b/src/relay/relay_load.h
@@ -7,14 +7,15 @@
 
 #include "placement.h"
 
-/* The request is sent to the placement's engine: adds it to the load there.
- */
+/* Adds the request to the load of the engine that it is sent to. */
 void mt_relay_add_load (mt_relay_t *relay, mt_relay_request_t *request,
                         const mt_placement_t *placement);
 
-/* The prompt has been prefilled; the attempt is over. A second call has no
-   effect. */
+/* Takes the prompt off the engine's pending prefill once the engine has
+   prefilled it. A second call has no effect. */
 void mt_relay_prefill_done (mt_relay_request_t *request);
+/* Takes the request off the load of its engine when the attempt is over. A
+   second call has no effect. */
 void mt_relay_remove_load (mt_relay_request_t *request);
 
 /* Learns the engine's prefill speed from the time to first token; to be
--- a/src/relay/request.c
+++ b/src/relay/request.c
@@ -13,9 +13,11 @@
 
 #define MIN_TIME_LEFT_MS 20 /* with less time left no attempt is started */
 #define RETRY_AFTER_BASE_MS 200 /* mean Retry-After by default */
-#define BACKOFF_SPREAD 4        /* callers return over 1/4 of a backoff */
-/* Longest idle time of a reused connection: for a request that may not be
-   repeated it is short, since the engine may have closed an idle one. */
+/* Retry-After is spread over the base and 1/4 of a backoff. */
+#define BACKOFF_SPREAD 4
+/* Longest idle time of a connection that is reused. It is short for a request
+   that may run only once: the engine may have closed an idle connection, and
+   a request lost with it could not be retried. */
 #define MAX_IDLE_MS 60000
 #define MAX_IDLE_ONCE_MS 2000
 
@@ -68,7 +70,7 @@
   }
 }
 
-/* Effects may have borrowed its texts: the next step frees it. */
+/* The next step frees the request, since effects may borrow its texts. */
 void mt_request_remove (mt_relay_t *relay, mt_relay_request_t *r) {
   if (relay->effects != NULL) mt_quarantine_release_leases(relay, r);
   mt_relay_remove_load(r);
--- a/src/relay/request.h
+++ b/src/relay/request.h
@@ -26,8 +26,7 @@
 void mt_request_log (mt_relay_t *relay, const mt_relay_request_t *request,
                      const char *outcome, const char *why);
 
-/* Why no engine can be chosen for it: there is none, or all are in backoff.
- */
+/* Why there is no engine for it: none is available, or all are in backoff. */
 mt_relay_refusal_t
 mt_request_no_engine_reason (const mt_relay_t *relay,
                              const mt_relay_request_t *request);
@@ -41,7 +40,8 @@
 void mt_request_give_up (mt_relay_t *relay, mt_relay_request_t *request,
                          mt_relay_refusal_t why);
 
-/* Takes back its cost from its workspace: the caller got nothing for it. */
+/* Takes its cost off what its workspace was served: the caller got nothing
+   for it. */
 void mt_request_refund (mt_relay_t *relay, mt_relay_request_t *request);
 
 /* }== */
--- a/src/relay/response_timeout.c
+++ b/src/relay/response_timeout.c
@@ -15,7 +15,7 @@
   return mt_max(5 * r->pause, ENGINE_SILENT_MS);
 }
 
-/* Time from one moment to another; 0 if the second is earlier. */
+/* Time in ms between two moments; 0 if the second is earlier. */
 static mt_ms_t elapsed (mt_ms_t from, mt_ms_t to) {
   return to > from ? to - from : 0;
 }
--- a/src/relay/response_timeout.h
+++ b/src/relay/response_timeout.h
@@ -6,8 +6,8 @@
 
 #include "relay.h"
 
-/* True if a request that was sent to an engine should be retried at another.
- */
+/* True if the engine has sent nothing for so long that the request should be
+   retried at another. */
 bool mt_response_overdue (const mt_relay_t *relay,
                           const mt_relay_request_t *request);
 
--- a/src/relay/retry_budget.c
+++ b/src/relay/retry_budget.c
@@ -5,9 +5,9 @@
 
 #include "retry_budget.h"
 
-/* Part of the budget that is used: it has to hold in every window, also in
-   those that do not begin with a slice. */
-#define SAFETY_PART 0.75
+/* Fraction of the budget that is used: the budget has to hold in every
+   window, also in those that do not begin with a slice. */
+#define SAFETY_FRACTION 0.75
 
 /* Advances to the current slice and clears those in between. */
 static void advance (mt_retry_budget_t *b, const mt_retry_params_t *params,
@@ -40,8 +40,8 @@
                            const mt_retry_params_t *params, int routers,
                            mt_ms_t now) {
   advance(b, params, now);
-  double own = params->ratio * SAFETY_PART * sum(b->requests);
-  double slack = (double)params->slack * SAFETY_PART / mt_max(routers, 1);
+  double own = params->ratio * SAFETY_FRACTION * sum(b->requests);
+  double slack = (double)params->slack * SAFETY_FRACTION / mt_max(routers, 1);
   if (sum(b->retries) + 1 > own + slack) return false;
   b->retries[b->slice % MT_RETRY_SLICES]++;
   return true;
--- a/src/relay/retry_budget.h
+++ b/src/relay/retry_budget.h
@@ -3,8 +3,9 @@
 **
 ** In any window the whole fleet may send `ratio` retries per request plus a
 ** fixed slack. Each router takes that ratio of its own requests and an even
-** share of the slack, so no messages between routers are needed to keep the
-** bound.
+** share of the slack, so routers exchange no messages about retries, and the
+** ratio holds also while they cannot reach each other. The slack is shared by
+** the live routers: each side of a network partition uses all of it.
 */
 #ifndef retry_budget_h
 #define retry_budget_h
@@ -28,8 +29,8 @@
 void mt_retry_budget_request (mt_retry_budget_t *budget,
                               const mt_retry_params_t *params, mt_ms_t now);
 
-/* Takes one retry; false if it would exceed the budget. `routers`: that are
-   alive, this one included. */
+/* Takes one retry; false if it would exceed the budget. `routers`: number of
+   live routers, this one included. */
 bool mt_retry_budget_take (mt_retry_budget_t *budget,
                            const mt_retry_params_t *params, int routers,
                            mt_ms_t now);
--- a/tests/engine_drain_backoff_test.cc
+++ b/tests/engine_drain_backoff_test.cc
@@ -245,7 +245,7 @@
   EXPECT_EQ(r.placed_at(2), "p1");
   r.sent(1);
   r.sent(2);
-  r.relay->params.off[MT_RELAY_REST] = true;
+  r.relay->params.off[MT_RELAY_SUSPEND] = true;
   r.advertises("p1", false, 3000);
   r.now += 100;
   r.head(1, 200);
--- a/tests/far_round_test.cc
+++ b/tests/far_round_test.cc
@@ -167,7 +167,7 @@
     mt_relay_event_t event{};
     event.kind = MT_RELAY_REQUEST;
     event.request = 1;
-    event.u.ask = &a;
+    event.u.incoming = &a;
     w.step(event);
     ASSERT_EQ(w.asked(1), std::vector<uint64_t>{near->key}) << row.what;
     w.reply(1, 0, 0, row.running);
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -622,7 +622,7 @@
     w.declare();
     w.relay->routers = 2;
     w.relay->params.cross_domain_ms = 15;
-    w.relay->params.off[MT_RELAY_FAR_ROUND] = row.off;
+    w.relay->params.off[MT_RELAY_REMOTE_ROUND] = row.off;
     std::set<uint64_t> remote;
     for (int i = 1; i <= 16; i++) {
       mt_engine_t *e = w.find("m" + std::to_string(i));
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -137,7 +137,7 @@
     mt_relay_event_t event{};
     event.kind = MT_RELAY_REQUEST;
     event.request = number;
-    event.u.ask = &a;
+    event.u.incoming = &a;
     step(event);
   }
   int attempt (uint64_t number) {
