--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -330,7 +330,7 @@
      to the workspace. */
   bool awaiting_event, may_have_run, events, framed, framed_to_caller,
       charged;
-  int64_t pending_prefill, held; /* its part of the engine's load */
+  int64_t pending_prefill, held; /* tokens: its part of the engine's load */
   int64_t fetched;    /* tokens of KV cache that the engine fetches */
   bool home;          /* the engine is the fleet's home of its segments */
   bool has_permit;    /* has a permit for a cold engine */
