--- a/src/gateway/change.h
+++ b/src/gateway/change.h
@@ -58,8 +58,8 @@
   char domain[MT_CHANGE_TEXT_SIZE], ip[46], service[MT_CHANGE_TEXT_SIZE];
   uint16_t port, slots;
   uint32_t cold; /* ms until the engine is warm; 0: it is */
-  int64_t
-      started_at; /* process start time, ms of the time of day; 0: unknown */
+  /* Start time of the process, ms since 1970; 0: unknown. */
+  int64_t started_at;
 } mt_change_engine_t;
 
 typedef struct mt_change_t {
--- a/src/gateway/change_log.h
+++ b/src/gateway/change_log.h
@@ -34,8 +34,8 @@
   uint32_t *free;
   size_t free_count, free_cap;
   mt_change_log_ref_t *order;
-  size_t first, order_count,
-      order_cap;   /* `first`: all refs before it are superseded */
+  /* `first`: index in `order`; all refs before it are superseded. */
+  size_t first, order_count, order_cap;
   bool sorted;     /* `order` has ascending revisions */
   uint32_t serial; /* the last one assigned */
   size_t max;      /* capacity; beyond it the oldest changes are dropped */
--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -17,12 +17,12 @@
   size_t n, cap;
 } mt_strbuf_t;
 
-void mt_strbuf_append (mt_strbuf_t *text, const char *p, size_t n);
+void mt_strbuf_append (mt_strbuf_t *buf, const char *p, size_t n);
 /* Appends formatted text, cut to 511 bytes for each call. */
-void mt_strbuf_format (mt_strbuf_t *text, const char *format, ...)
+void mt_strbuf_format (mt_strbuf_t *buf, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /* Frees the memory; the buffer is empty and usable afterwards. */
-void mt_strbuf_free (mt_strbuf_t *text);
+void mt_strbuf_free (mt_strbuf_t *buf);
 
 /* Values that the gateway adds to a request that it forwards to an engine. */
 typedef struct mt_dialect_fields_t {
@@ -36,10 +36,10 @@
 } mt_dialect_fields_t;
 
 typedef struct mt_dialect_t {
-  /* Reads a caller's header fields into `ask`; host, path and digest are
-     already set. */
+  /* Reads a caller's header fields into `incoming`; host, path and digest
+     are already set. */
   void (*read_request)(const mt_http_headers_t *headers,
-                       mt_relay_incoming_t *ask);
+                       mt_relay_incoming_t *incoming);
   /* Appends the header lines for an engine, except Content-Length. */
   void (*write_request)(const mt_http_headers_t *headers,
                         const mt_dialect_fields_t *fields, mt_strbuf_t *out);
--- a/src/gateway/drain_exchange.h
+++ b/src/gateway/drain_exchange.h
@@ -12,9 +12,8 @@
 ** as changes of the source instead (feed_exchange.h).
 **
 ** Datagrams are not trusted. A forged one keeps an engine from work for
-** MT_ENGINE_DRAIN_GOSSIP_TTL_MS, at routers that do not have the drain from
-*the engine
-** itself.
+** MT_ENGINE_DRAIN_GOSSIP_TTL_MS, at routers that did not receive the drain
+** notice from the engine itself.
 */
 #ifndef drain_exchange_h
 #define drain_exchange_h
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -169,7 +169,7 @@
   if (r != NULL) mt_gateway_peers_request_sent(g->peers, r);
 }
 
-static void do_ask (mt_gateway_t *g, const mt_relay_effect_t *fx) {
+static void do_get_quotes (mt_gateway_t *g, const mt_relay_effect_t *fx) {
   const mt_relay_request_t *r = mtV_get(&g->relay->requests, fx->request);
   if (r != NULL) mt_gateway_peers_request_quotes(g->peers, r);
 }
@@ -205,7 +205,7 @@
   if (p == NULL) return;
   switch (fx->kind) {
     case MT_RELAY_DO_REFUSE: do_refuse(g, p, fx); break;
-    case MT_RELAY_DO_GET_QUOTES: do_ask(g, fx); break;
+    case MT_RELAY_DO_GET_QUOTES: do_get_quotes(g, fx); break;
     case MT_RELAY_DO_START: do_start(g, p, fx); break;
     case MT_RELAY_DO_CANCEL: abandon_attempt(p); break;
     case MT_RELAY_DO_HEAD:
@@ -233,8 +233,7 @@
 ** Effects are carried out in order, and some of them cause another event at
 ** once, which is handled in a nested call. Only four events nest: WRITTEN
 ** has no effects, and those of QUOTED, TRIED and CALLER_DISCONNECTED concern
-*only
-** the request whose effect is being carried out.
+** only the request whose effect is being carried out.
 */
 void mt_gateway_step (mt_gateway_t *g, mt_relay_event_t *event) {
   mt_relay_effects_t effects = {0};
@@ -293,22 +292,22 @@
   mt_gateway_t *g = ud;
   tick_soon(g);
   const mt_http_headers_t *headers = mt_http_exchange_headers(x);
-  mt_relay_incoming_t ask = {.deadline_ms = -1, .last_event = -1};
+  mt_relay_incoming_t incoming = {.deadline_ms = -1, .last_event = -1};
   inflight_t *p = mtV_new(sizeof *p);
   p->gateway = g;
   p->number = ++g->next_number;
   p->exchange = x;
   mt_http_exchange_set_user(x, p);
   mtV_put(&g->inflight_by_number, p->number, p);
-  ask.host = mt_http_headers_find(headers, "host");
-  ask.path = path_of(mt_http_exchange_target(x));
-  const mt_request_text_t text = {mt_http_exchange_method(x), ask.host,
+  incoming.host = mt_http_headers_find(headers, "host");
+  incoming.path = path_of(mt_http_exchange_target(x));
+  const mt_request_text_t text = {mt_http_exchange_method(x), incoming.host,
                                   mt_http_exchange_target(x),
                                   mt_http_exchange_body(x)};
-  ask.digest = mt_request_digest(&text);
-  g->dialect->read_request(headers, &ask);
+  incoming.digest = mt_request_digest(&text);
+  g->dialect->read_request(headers, &incoming);
   mt_relay_event_t event = {.kind = MT_RELAY_REQUEST, .request = p->number};
-  event.u.ask = &ask;
+  event.u.ask = &incoming;
   mt_gateway_step(g, &event);
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -42,7 +42,7 @@
   const char *service;
   int slots; /* requests that it runs at a time */
   bool draining;
-  int64_t started_at; /* start time, ms since the epoch; 0: unknown */
+  int64_t started_at; /* start time, ms since 1970; 0: unknown */
   mt_ms_t cold; /* time that it stays cold, with a limited request rate; 0:
                    warm */
 } mt_gateway_engine_t;
--- a/src/gateway/gateway_feeds.c
+++ b/src/gateway/gateway_feeds.c
@@ -34,13 +34,15 @@
 typedef struct announcement_t {
   mt_gateway_t *gateway;
   mt_revision_t rev;
-  int additions;      /* added keys and routes announced so far */
-  bool removals_only; /* after a restore: the version may be an old one */
+  int additions; /* added keys and routes announced so far */
+  /* In the grace period after a restore: the version may be an old one, and a
+     later one may have removed what it adds. */
+  bool removals_only;
 } announcement_t;
 
 static void announce (announcement_t *d, const mt_change_t *change,
-                      bool additions) {
-  if (additions && (d->removals_only || d->additions++ >= ADDITIONS_MAX))
+                      bool is_addition) {
+  if (is_addition && (d->removals_only || d->additions++ >= ADDITIONS_MAX))
     return;
   mt_gateway_peers_source_changed(d->gateway->peers, change);
 }
@@ -56,12 +58,12 @@
 }
 
 static void announce_route (void *ud, mt_id_t route, mt_id_t service,
-                            bool opened) {
+                            bool added) {
   announcement_t *d = ud;
-  mt_change_t change = mt_change_make_route(opened ? MT_CHANGE_ROUTE_ADDED
-                                                   : MT_CHANGE_ROUTE_REMOVED,
+  mt_change_t change = mt_change_make_route(added ? MT_CHANGE_ROUTE_ADDED
+                                                  : MT_CHANGE_ROUTE_REMOVED,
                                             route, service, d->rev);
-  announce(d, &change, opened);
+  announce(d, &change, added);
 }
 
 /* True if the configuration contradicts a change that other routers sent;
--- a/src/gateway/gateway_metrics.c
+++ b/src/gateway/gateway_metrics.c
@@ -75,16 +75,16 @@
                      mt_peer_kind_name((mt_peer_kind_t)i),
                      (unsigned long long)traffic[i].messages);
   describe(out, "peer_bytes_total", "counter",
-           "Their bytes, within the failure domain and to other domains.");
+           "Bytes sent to other routers, by kind and to which domains.");
   for (int i = 0; i < MT_PEER_KINDS; i++) {
     const char *kind = mt_peer_kind_name((mt_peer_kind_t)i);
-    uint64_t far = traffic[i].bytes_remote;
+    uint64_t remote_bytes = traffic[i].bytes_remote;
     mt_strbuf_format(
         out, PREFIX "peer_bytes_total{kind=\"%s\",to=\"domain\"} %llu\n",
-        kind, (unsigned long long)(traffic[i].bytes - far));
+        kind, (unsigned long long)(traffic[i].bytes - remote_bytes));
     mt_strbuf_format(
         out, PREFIX "peer_bytes_total{kind=\"%s\",to=\"others\"} %llu\n",
-        kind, (unsigned long long)far);
+        kind, (unsigned long long)remote_bytes);
   }
 }
 
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -12,9 +12,11 @@
 #include "share_exchange.h"
 #include "suspect_exchange.h"
 
-#define LOAD_VALID_MS 2500 /* a reported load that is not repeated */
-/* Interval between greetings of one peer. A greeting is larger than the
-   datagram that causes it, which may be forged: a limit on amplification. */
+/* A reported load expires after this time unless it is repeated. */
+#define LOAD_VALID_MS 2500
+/* Minimum interval between greetings of one peer. A greeting is larger than
+   the datagram that causes it, which may be forged: this limits
+   amplification. */
 #define GREET_MIN_INTERVAL_MS 200
 #define READ_BATCH_MAX 4096 /* datagrams in one tick */
 
@@ -158,7 +160,7 @@
   mt_gateway_peers_t *peers = ud;
   const mt_relay_t *relay = peers->relay;
   mt_ms_t now = mt_boot_clock_now(peers->loop);
-  mt_suspect_status_t standing =
+  mt_suspect_status_t status =
       mt_suspects_status(&relay->suspects, s->digest, now);
   uint64_t last = s->listed > 0 ? s->list[s->listed - 1].engine : 0;
   const mt_engine_t *e = mt_engines_get(&relay->engines, last);
@@ -167,22 +169,21 @@
   mt_log_line(peers->log, MT_LOG_STATE, now, "suspect",
               "digest=%016llx state=%s ends=%d alone=%d last=%s left=%llu "
               "peer=%s outcome=%s",
-              (unsigned long long)s->digest,
-              mt_suspicion_name(standing.state), standing.ends,
-              standing.alone, e != NULL ? e->name : "-",
-              (unsigned long long)standing.left, text, why);
+              (unsigned long long)s->digest, mt_suspicion_name(status.state),
+              status.ends, status.alone, e != NULL ? e->name : "-",
+              (unsigned long long)status.left, text, why);
 }
 
-static void on_verdict (void *ud, const mt_suspect_message_t *word,
+static void on_verdict (void *ud, const mt_suspect_message_t *message,
                         mt_trial_verdict_t verdict) {
   mt_gateway_peers_t *peers = ud;
-  peers->callbacks.trial(peers->callbacks.ud, word, verdict);
+  peers->callbacks.trial(peers->callbacks.ud, message, verdict);
 }
 
 void mt_gateway_peers_send_suspect_message (
-    mt_gateway_peers_t *peers, const mt_suspect_message_t *word) {
+    mt_gateway_peers_t *peers, const mt_suspect_message_t *message) {
   peers->members.now = mt_boot_clock_now(peers->loop);
-  mt_suspect_exchange_send(&peers->suspects, word);
+  mt_suspect_exchange_send(&peers->suspects, message);
 }
 
 /* }== */
@@ -324,7 +325,8 @@
   send_message(peers, owner);
 }
 
-static void on_holds (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
+static void on_prefix_holder (mt_gateway_peers_t *peers,
+                              const mt_peer_message_t *m) {
   if (m->engines_count == 0 || m->segments_count == 0) return;
   mt_prefix_holders_set(&peers->relay->holders, m->segments[0].id,
                         m->engines[0].key, mt_boot_clock_now(peers->loop));
@@ -362,7 +364,8 @@
   if (owner != 0) send_message(peers, owner);
 }
 
-static void on_back (mt_gateway_peers_t *peers, const mt_peer_message_t *m) {
+static void on_permit_return (mt_gateway_peers_t *peers,
+                              const mt_peer_message_t *m) {
   for (size_t i = 0; i < m->engines_count; i++)
     mt_cold_starts_return(&peers->relay->cold, m->engines[i].key);
 }
@@ -380,15 +383,16 @@
   return owner_of(ud, e);
 }
 
-static void ask_owner (mt_gateway_peers_t *peers, uint32_t owner,
-                       const mt_relay_request_t *r) {
+static void send_quote_request (mt_gateway_peers_t *peers, uint32_t owner,
+                                const mt_relay_request_t *r) {
   mt_peer_t *peer = mt_membership_add(&peers->members, owner);
   if (peer == NULL || peers->out.engines_count == 0) return;
   peers->out.request_number = r->number;
   peers->out.segments_count = r->segments_count;
   memcpy(peers->out.segments, r->segments,
          r->segments_count * sizeof *r->segments);
-  if (peer->asked == 0) peer->asked = mt_boot_clock_now(peers->loop);
+  if (peer->unanswered_since == 0)
+    peer->unanswered_since = mt_boot_clock_now(peers->loop);
   send_message(peers, owner);
 }
 
@@ -416,22 +420,22 @@
       m->engines[m->engines_count++].key = r->candidates[k].engine;
       owners[k] = 0;
     }
-    ask_owner(peers, owner, r);
+    send_quote_request(peers, owner, r);
   }
   if (own_count > 0)
     peers->callbacks.quoted(peers->callbacks.ud, r->number, own, own_count);
 }
 
-static void on_ask (mt_gateway_peers_t *peers, uint32_t ip,
-                    const mt_peer_message_t *ask) {
+static void on_quote_request (mt_gateway_peers_t *peers, uint32_t ip,
+                              const mt_peer_message_t *request) {
   mt_peer_message_t *m = begin(peers, MT_PEER_QUOTE);
   peers->relay->now =
       mt_max(peers->relay->now, mt_boot_clock_now(peers->loop));
-  m->request_number = ask->request_number;
-  for (size_t i = 0; i < ask->engines_count; i++) {
-    uint64_t key = ask->engines[i].key;
+  m->request_number = request->request_number;
+  for (size_t i = 0; i < request->engines_count; i++) {
+    uint64_t key = request->engines[i].key;
     mt_relay_quote_t quote = mt_relay_quote(
-        peers->relay, key, ip, ask->segments, ask->segments_count);
+        peers->relay, key, ip, request->segments, request->segments_count);
     m->engines[m->engines_count++] = (mt_peer_engine_t){
         quote.engine, quote.peers, quote.cached, quote.holder,
         mt_relay_admission(peers->relay, key, owns(peers, key))};
@@ -446,7 +450,7 @@
     quotes[i] = (mt_relay_quote_t){m->engines[i].key, m->engines[i].load,
                                    m->engines[i].tokens, m->engines[i].holder,
                                    m->engines[i].admission};
-  peer->asked = 0;
+  peer->unanswered_since = 0;
   peer->suspect_until = 0;
   peers->callbacks.quoted(peers->callbacks.ud, m->request_number, quotes,
                           m->engines_count);
@@ -494,9 +498,9 @@
     case MT_PEER_LOAD:
       if (is_newest(peer, m)) on_load(peers, peer->ip, m);
       break;
-    case MT_PEER_PREFIX_HOLDER: on_holds(peers, m); break;
-    case MT_PEER_PERMIT_RETURN: on_back(peers, m); break;
-    case MT_PEER_QUOTE_REQUEST: on_ask(peers, peer->ip, m); break;
+    case MT_PEER_PREFIX_HOLDER: on_prefix_holder(peers, m); break;
+    case MT_PEER_PERMIT_RETURN: on_permit_return(peers, m); break;
+    case MT_PEER_QUOTE_REQUEST: on_quote_request(peers, peer->ip, m); break;
     case MT_PEER_QUOTE: on_quote(peers, peer, m); break;
     case MT_PEER_CHANGES:
       mt_feed_exchange_receive_changes(&peers->feeds, peer, m);
--- a/src/gateway/gateway_peers.h
+++ b/src/gateway/gateway_peers.h
@@ -29,7 +29,7 @@
 
 /* The owner of a suspect answered whether the request may run. */
 typedef void (*mt_gateway_on_trial_t)(void *ud,
-                                      const mt_suspect_message_t *word,
+                                      const mt_suspect_message_t *message,
                                       mt_trial_verdict_t verdict);
 
 /* Applies a drain notice that another router sent; true if it was new. */
@@ -49,7 +49,8 @@
                        mt_relay_t *relay, mt_log_writer_t *log,
                        const mt_gateway_peers_callbacks_t *callbacks);
 
-/* Handles all datagrams that are waiting; to be called in each tick. */
+/* Handles all datagrams that are waiting, up to a limit per call; to be
+   called in each tick. */
 void mt_gateway_peers_read (mt_gateway_peers_t *peers);
 
 /* Sends what is due and drops expired state; returns the number of live
@@ -74,8 +75,8 @@
 
 /* Sends a message about a suspect to the suspect's owner. If that is this
    router, a question is answered (callback) before this returns. */
-void mt_gateway_peers_send_suspect_message (mt_gateway_peers_t *peers,
-                                            const mt_suspect_message_t *word);
+void mt_gateway_peers_send_suspect_message (
+    mt_gateway_peers_t *peers, const mt_suspect_message_t *message);
 
 /* An answer to this router said that its engine drains: gossips that. */
 void mt_gateway_peers_engine_draining (mt_gateway_peers_t *peers,
@@ -142,7 +143,7 @@
 /* The bound UDP port, also when the settings have port 0. */
 uint16_t mt_gateway_peers_port (const mt_gateway_peers_t *peers);
 
-/* Closes the socket; memory is freed in the loop's next turn. */
+/* Closes the socket; memory is freed in the loop's next iteration. */
 void mt_gateway_peers_close (mt_gateway_peers_t *peers);
 
 #endif
--- a/src/gateway/gateway_settings.c
+++ b/src/gateway/gateway_settings.c
@@ -19,19 +19,20 @@
 #define DESCRIPTORS_MAX 65536
 #define RETRY_RATIO 0.1 /* retries for each request */
 #define RETRY_WINDOW_MS 10000
-#define RETRY_SLACK 20 /* beyond the ratio, of the whole fleet */
-/* Exactly the request rate that is declared for cold engines. */
+/* Retries of the whole fleet in a window, beyond the ratio. */
+#define RETRY_SLACK 20
+/* By default a cold engine gets exactly the request rate that is declared. */
 #define COLD_OVERAGE 1.0
 #define COLD_SLACK 0.0       /* requests */
 #define RUNNING_FRACTION 0.3 /* of the descriptors: requests in progress */
 /* Weights and limits of choosing an engine: mt_relay_params_t in relay.h. */
 #define WAIT_FRACTION 0.45
-#define URGENCY_EXPONENT 1.0
-#define ROOM_FRACTION 0.1
-#define OVER_SHARE_EXPONENT 10.0
-#define PREFILL_WEIGHT 50.0
-#define PREFILL_WEIGHT_UNDER_SHARE 13.0
-#define TRANSFER_WEIGHT 3.0
+#define OBJECTIVE_POWER 1.0
+#define NEAR_IDLE_FRACTION 0.1
+#define OVER_SHARE_POWER 10.0
+#define MISS_WEIGHT 50.0
+#define MISS_WEIGHT_RELAXED 13.0
+#define KV_TRANSFER_WEIGHT 3.0
 /* Of the wait limit, at engines of other failure domains, and the same for a
    workspace that has had its share: traffic between domains is expensive, and
    requests of other domains evict segments that are used there. */
@@ -67,9 +68,9 @@
 }
 
 static double get_double (const json_t *doc, const char *name,
-                          double otherwise) {
+                          double fallback) {
   const json_t *value = json_object_get(doc, name);
-  return json_is_number(value) ? json_number_value(value) : otherwise;
+  return json_is_number(value) ? json_number_value(value) : fallback;
 }
 
 static void read_seeds (const json_t *doc, mt_gateway_settings_t *set) {
@@ -90,8 +91,8 @@
   return (int64_t)mt_min(limit.rlim_cur, (rlim_t)DESCRIPTORS_MAX);
 }
 
-static void read_terms (const json_t *doc, mt_relay_params_t *params,
-                        mt_faults_t *faults) {
+static void read_params (const json_t *doc, mt_relay_params_t *params,
+                         mt_faults_t *faults) {
   const json_t *retry = json_object_get(doc, "retry");
   const json_t *relay = json_object_get(doc, "relay");
   const json_t *cold = json_object_get(doc, "cold_start");
@@ -105,15 +106,16 @@
   params->cold.slack = get_double(cold, "slack", COLD_SLACK);
   params->wait_fraction = get_double(relay, "wait_part", WAIT_FRACTION);
   params->objective_power =
-      get_double(relay, "urgency_power", URGENCY_EXPONENT);
-  params->near_idle_fraction = get_double(relay, "room_part", ROOM_FRACTION);
+      get_double(relay, "urgency_power", OBJECTIVE_POWER);
+  params->near_idle_fraction =
+      get_double(relay, "room_part", NEAR_IDLE_FRACTION);
   params->over_share_power =
-      get_double(relay, "over_power", OVER_SHARE_EXPONENT);
-  params->miss_weight = get_double(relay, "miss_weight", PREFILL_WEIGHT);
+      get_double(relay, "over_power", OVER_SHARE_POWER);
+  params->miss_weight = get_double(relay, "miss_weight", MISS_WEIGHT);
   params->miss_weight_relaxed =
-      get_double(relay, "miss_weight_easy", PREFILL_WEIGHT_UNDER_SHARE);
+      get_double(relay, "miss_weight_easy", MISS_WEIGHT_RELAXED);
   params->kv_transfer_weight =
-      get_double(relay, "move_weight", TRANSFER_WEIGHT);
+      get_double(relay, "move_weight", KV_TRANSFER_WEIGHT);
   params->remote_wait_fraction =
       get_double(relay, "far_part", REMOTE_WAIT_FRACTION);
   params->remote_wait_fraction_over_share =
@@ -145,7 +147,7 @@
   set->log_lines_per_s =
       (int)mtJ_int(doc, "log_lines_per_s", LOG_LINES_PER_S);
   set->descriptors = (size_t)mtJ_int(doc, "descriptors", descriptor_limit());
-  read_terms(doc, &set->params, faults);
+  read_params(doc, &set->params, faults);
   set->params.max_running = mt_min(
       (size_t)MT_MAX_RUNNING, (size_t)(RUNNING_FRACTION * set->descriptors));
   set->params.unlisted_grace_ms =
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -24,7 +24,7 @@
   uv_timer_t tick;
   mt_map_t inflight_by_number; /* inflight_t (gateway.c), owned */
   uint64_t next_number;        /* last request number that was given out */
-  mt_ms_t started, stopping;   /* stopping: since then; 0: not */
+  mt_ms_t started, stopping;   /* `stopping`: when the stop began, or 0 */
   mt_ms_t last_tick; /* time of the last tick, or of the last timer restart */
   mt_ms_t tick_ms;   /* interval of the tick timer */
   mt_ms_t last_busy; /* when a request was last in progress */
--- a/src/gateway/load_reporter.c
+++ b/src/gateway/load_reporter.c
@@ -31,23 +31,23 @@
   return n;
 }
 
-void mt_load_reporter_tick (mt_load_reporter_t *t, mt_engines_t *engines,
+void mt_load_reporter_tick (mt_load_reporter_t *r, mt_engines_t *engines,
                             mt_ms_t now,
                             const mt_load_reporter_callbacks_t *callbacks) {
-  t->count = 0;
+  r->count = 0;
   mt_engines_prune_active(engines);
   for (size_t i = 0; i < engines->active_count; i++) {
     mt_engine_t *e = engines->active[i];
     if (!is_due(e, now)) continue;
-    *mtV_push(t->due, t->count, t->cap) =
+    *mtV_push(r->due, r->count, r->cap) =
         (mt_load_due_t){callbacks->owner(callbacks->ud, e), e};
   }
-  if (t->count == 0) return;
-  qsort(t->due, t->count, sizeof *t->due, compare_owners);
-  for (size_t i = 0; i < t->count;)
-    i += report_owner(&t->due[i], t->count - i, callbacks);
+  if (r->count == 0) return;
+  qsort(r->due, r->count, sizeof *r->due, compare_owners);
+  for (size_t i = 0; i < r->count;)
+    i += report_owner(&r->due[i], r->count - i, callbacks);
 }
 
-void mt_load_reporter_free (mt_load_reporter_t *t) {
-  free(t->due);
+void mt_load_reporter_free (mt_load_reporter_t *r) {
+  free(r->due);
 }
--- a/src/gateway/membership.c
+++ b/src/gateway/membership.c
@@ -5,7 +5,9 @@
 
 #include "membership.h"
 
-#define PEER_TIMEOUT_MS 2500   /* a peer is live so long by default */
+/* After a message a peer is live so long, unless later messages name another
+   time. */
+#define PEER_TIMEOUT_MS 2500
 #define PROBE_INTERVAL_MS 1000 /* between probes of one address */
 #define STARTUP_MS 3000        /* without a limit on probes */
 /* After the start peers may not be known yet, and the present owners of
@@ -56,8 +58,8 @@
   return seen || m->now < p->reported_until;
 }
 
-/* A power of two, so that there are about as many groups as routers in each
-   group. */
+/* The smallest power of two whose square is at least `members`: about as many
+   groups as routers in each group. */
 static uint32_t count_groups (int members) {
   uint32_t groups = 1;
   while ((int)(groups * groups) < members) groups *= 2;
@@ -107,8 +109,10 @@
 
 /* Suspects a peer that has not answered a question in time. */
 static void check_answer (mt_membership_t *m, mt_peer_t *peer) {
-  if (peer->asked == 0 || m->now - peer->asked < ANSWER_TIMEOUT_MS) return;
-  peer->asked = 0;
+  if (peer->unanswered_since == 0 ||
+      m->now - peer->unanswered_since < ANSWER_TIMEOUT_MS)
+    return;
+  peer->unanswered_since = 0;
   peer->suspect_until = m->now + SUSPECT_MS;
 }
 
--- a/src/gateway/membership.h
+++ b/src/gateway/membership.h
@@ -32,11 +32,13 @@
   uint64_t synced_boot;     /* its process that was last sent known drains,
                                suspects and members */
   mt_ms_t synced_at;
-  mt_revision_t
-      received[MT_FEEDS]; /* by feed: it knows all changes up to here */
-  mt_ms_t asked; /* when its oldest unanswered question was sent; 0: none */
-  mt_ms_t suspect_until;                 /* owns no engine until then */
-  mt_ms_t shares_received, shares_valid; /* when they came, for how long */
+  /* By feed: the revision up to which it knows all changes. */
+  mt_revision_t received[MT_FEEDS];
+  mt_ms_t unanswered_since; /* when its oldest unanswered question was sent;
+                               0: none */
+  mt_ms_t suspect_until;    /* owns no engine until then */
+  /* When `shares` came, and for how long they are valid. */
+  mt_ms_t shares_received, shares_valid;
   mt_peer_share_t *shares; /* its own workspaces' rates, if in this group */
   size_t shares_count, shares_cap;
 } mt_peer_t;
--- a/src/gateway/overload.c
+++ b/src/gateway/overload.c
@@ -5,7 +5,7 @@
 
 #define SMOOTHING_MS 1000.0 /* time constant of the smoothing */
 #define LAG_MAX_MS 400.0    /* of a sample: one long pause is no overload */
-/* Hysteresis. */
+/* Hysteresis: an overload begins above one lag and ends below a lower one. */
 #define BEGIN_LAG_MS 60.0
 #define END_LAG_MS 15.0
 #define SEVERE_LAG_MS 100.0
--- a/src/gateway/overload.h
+++ b/src/gateway/overload.h
@@ -1,9 +1,9 @@
 /*
 ** overload.h - detects that the process is short of processor time
 **
-** It shows in how late the ticks of the event loop are: whatever arrived
-** meanwhile has waited as long. An overloaded gateway reports itself as not
-** ready to the load balancer until it has recovered.
+** The measure is how late the ticks of the event loop are: whatever arrived
+** in the meantime has waited as long. An overloaded gateway reports to
+** the load balancer that it is not ready, until it has recovered.
 */
 #ifndef overload_h
 #define overload_h
--- a/src/gateway/peer_message.c
+++ b/src/gateway/peer_message.c
@@ -38,7 +38,7 @@
 /* Upper bounds of received values. */
 #define TOKENS_MAX 1000000000
 #define RUNNING_MAX 1000000
-#define TOKENS_READ_MAX ((int64_t)1 << 52)
+#define TOKENS_PROCESSED_MAX ((int64_t)1 << 52)
 #define DURATION_MAX_MS 600000
 #define SUSPECT_AGE_MAX_MS 7200000
 #define EARLIER_ENDS_MAX 1000
@@ -130,7 +130,7 @@
   }
 }
 
-static void pack_parts (const mt_peer_message_t *m, msgpack_packer *pk) {
+static void pack_segments (const mt_peer_message_t *m, msgpack_packer *pk) {
   msgpack_pack_array(pk, m->segments_count * SEGMENT_FIELDS);
   for (size_t i = 0; i < m->segments_count; i++) {
     msgpack_pack_uint64(pk, m->segments[i].id);
@@ -295,7 +295,7 @@
     pack_drains(m, &pk);
   else
     pack_engines(m, &pk);
-  pack_parts(m, &pk);
+  pack_segments(m, &pk);
   pack_changes(m, era, &pk);
   pack_suspects(m, &pk);
   pack_suspect_message(m, &pk);
@@ -367,7 +367,7 @@
     e->load.pending_prefill = unpack_bounded(&at[1], TOKENS_MAX);
     e->load.held = unpack_bounded(&at[2], TOKENS_MAX);
     e->load.running = (int32_t)unpack_bounded(&at[3], RUNNING_MAX);
-    e->tokens = unpack_bounded(&at[4], TOKENS_READ_MAX);
+    e->tokens = unpack_bounded(&at[4], TOKENS_PROCESSED_MAX);
     e->holder = unpack_number(&at[5]);
     e->admission = (mt_admission_t)unpack_bounded(&at[6], MT_ADMIT_NONE);
   }
@@ -384,7 +384,7 @@
   m->drains_count = n;
 }
 
-static void unpack_parts (mt_peer_message_t *m, const msgpack_object *o) {
+static void unpack_segments (mt_peer_message_t *m, const msgpack_object *o) {
   m->segments_count = count_rows(o, SEGMENT_FIELDS, MT_PEER_SEGMENTS_MAX);
   for (size_t i = 0; i < m->segments_count; i++) {
     const msgpack_object *at = &o->via.array.ptr[i * SEGMENT_FIELDS];
@@ -545,7 +545,7 @@
     unpack_drains(m, &at[HEADER_FIELDS + 2]);
   else
     unpack_engines(m, &at[HEADER_FIELDS + 2]);
-  unpack_parts(m, &at[HEADER_FIELDS + 3]);
+  unpack_segments(m, &at[HEADER_FIELDS + 3]);
   unpack_changes(m, &at[HEADER_FIELDS + 4],
                  unpack_bounded(&at[ERA_OFFSET], MT_REVISION_ERA_MAX));
   unpack_suspects(m, &at[HEADER_FIELDS + 5]);
--- a/src/gateway/peer_message.h
+++ b/src/gateway/peer_message.h
@@ -90,9 +90,9 @@
 /* An engine that advertised in a response that it drains. */
 typedef struct mt_peer_drain_t {
   uint64_t engine; /* its key */
-  int64_t
-      started_at; /* its process start time, ms of the time of day, or 0 */
-  mt_ms_t age;    /* since a router last received this from the engine */
+  /* Start time of its process, ms since 1970; 0: unknown. */
+  int64_t started_at;
+  mt_ms_t age; /* since a router last received this from the engine */
 } mt_peer_drain_t;
 
 /*
--- a/src/gateway/share_exchange.c
+++ b/src/gateway/share_exchange.c
@@ -84,17 +84,17 @@
   }
 }
 
-/* Adds the addresses in a message to the membership; `serving`: the sender
+/* Adds the addresses in a message to the membership; `live`: the sender
    reports them as live. */
 static void merge_members (mt_membership_t *members,
-                           const mt_peer_message_t *m, bool serving) {
+                           const mt_peer_message_t *m, bool live) {
   mt_ms_t valid = member_validity(m);
   for (size_t i = 0; i < m->members_count; i++) {
     const mt_peer_member_t *member = &m->members[i];
     mt_peer_t *peer = mt_membership_add(members, member->ip);
     if (peer == NULL) continue;
     if (peer->domain == 0) peer->domain = member->domain;
-    if (!serving) continue;
+    if (!live) continue;
     peer->domain = member->domain;
     peer->reaches_source = member->reaches_source;
     peer->reported_until = members->now + valid;
@@ -437,10 +437,10 @@
 
 /* }== */
 
-/* Time until the next round after this many bytes, at least `least`. */
-static mt_ms_t interval_for (size_t bytes, size_t bytes_per_s,
-                             mt_ms_t least) {
-  return mt_max((mt_ms_t)(1000 * bytes / bytes_per_s), least);
+/* Time until the next round or heartbeat after one of this many bytes, at
+   least `min`. */
+static mt_ms_t interval_for (size_t bytes, size_t bytes_per_s, mt_ms_t min) {
+  return mt_max((mt_ms_t)(1000 * bytes / bytes_per_s), min);
 }
 
 /* Sends a heartbeat. Its bytes set the time of the next one, and do not count
--- a/src/gateway/strbuf.c
+++ b/src/gateway/strbuf.c
@@ -10,29 +10,29 @@
 
 #define FORMAT_BYTES 512
 
-void mt_strbuf_append (mt_strbuf_t *text, const char *p, size_t n) {
-  if (text->n + n > text->cap) {
-    size_t cap = mt_max(text->cap * 2, (size_t)1024);
-    while (cap < text->n + n) cap *= 2;
-    char *grown = realloc(text->p, cap);
+void mt_strbuf_append (mt_strbuf_t *buf, const char *p, size_t n) {
+  if (buf->n + n > buf->cap) {
+    size_t cap = mt_max(buf->cap * 2, (size_t)1024);
+    while (cap < buf->n + n) cap *= 2;
+    char *grown = realloc(buf->p, cap);
     if (grown == NULL) abort();
-    text->p = grown;
-    text->cap = cap;
+    buf->p = grown;
+    buf->cap = cap;
   }
-  if (n > 0) memcpy(text->p + text->n, p, n);
-  text->n += n;
+  if (n > 0) memcpy(buf->p + buf->n, p, n);
+  buf->n += n;
 }
 
-void mt_strbuf_format (mt_strbuf_t *text, const char *format, ...) {
+void mt_strbuf_format (mt_strbuf_t *buf, const char *format, ...) {
   char part[FORMAT_BYTES];
   va_list ap;
   va_start(ap, format);
   int n = vsnprintf(part, sizeof part, format, ap);
   va_end(ap);
-  mt_strbuf_append(text, part, mt_min((size_t)n, sizeof part - 1));
+  mt_strbuf_append(buf, part, mt_min((size_t)n, sizeof part - 1));
 }
 
-void mt_strbuf_free (mt_strbuf_t *text) {
-  free(text->p);
-  *text = (mt_strbuf_t){0};
+void mt_strbuf_free (mt_strbuf_t *buf) {
+  free(buf->p);
+  *buf = (mt_strbuf_t){0};
 }
--- a/src/gateway/suspect_exchange.c
+++ b/src/gateway/suspect_exchange.c
@@ -160,7 +160,8 @@
   if (peer == NULL) return;
   bool is_question = message->kind == MT_SUSPECT_MESSAGE_LEASE ||
                      message->kind == MT_SUSPECT_MESSAGE_LEASE_ENGINE;
-  if (is_question && peer->asked == 0) peer->asked = x->members->now;
+  if (is_question && peer->unanswered_since == 0)
+    peer->unanswered_since = x->members->now;
   mt_peer_message_t *m =
       x->callbacks.begin(x->callbacks.ud, MT_PEER_SUSPECT_MESSAGE);
   m->suspect_message = *message;
@@ -202,7 +203,7 @@
       handle_message(x, peer->ip, &m->suspect_message);
       break;
     case MT_PEER_TRIAL_VERDICT:
-      peer->asked = 0;
+      peer->unanswered_since = 0;
       peer->suspect_until = 0;
       if (m->verdict < MT_TRIAL_COUNT)
         x->callbacks.replied(x->callbacks.ud, &m->suspect_message,
--- a/src/gateway/suspects_page.h
+++ b/src/gateway/suspects_page.h
@@ -8,7 +8,8 @@
 #include "dialect.h"
 #include "suspects.h"
 
-/* True for the paths "/suspects" and "/suspects/DIGEST". */
+/* True for the paths "/suspects" and "/suspects/DIGEST", which the metrics
+   listener serves. */
 bool mt_suspects_page_matches (mt_bytes_t target);
 
 /* The digest in the path, 16 hexadecimal digits; 0: none or invalid. */
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -334,7 +334,7 @@
   uint64_t engine = 1;
   while (mt_membership_owner(&m, engine, 2) == m.own_ip) engine++;
   uint32_t first = mt_membership_owner(&m, engine, 2);
-  fleet.peer(m, first)->asked = fleet.now;
+  fleet.peer(m, first)->unanswered_since = fleet.now;
   mt_membership_update(&m, fleet.now + 50);
   EXPECT_EQ(mt_membership_owner(&m, engine, 2), first); // may still answer
   mt_membership_update(&m, fleet.now + 100);
