--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -232,8 +232,9 @@
 /*
 ** Effects are carried out in order, and some of them cause another event at
 ** once, which is handled in a nested call. Only four events nest: WRITTEN
-** has no effects, and those of QUOTED, TRIED and CALLER_DISCONNECTED concern
-** only the request whose effect is being carried out.
+** has no effects, and those of QUOTED, TRIAL_ANSWERED and
+** CALLER_DISCONNECTED concern only the request whose effect is being carried
+** out.
 */
 void mt_gateway_step (mt_gateway_t *g, mt_relay_event_t *event) {
   mt_relay_effects_t effects = {0};
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -30,7 +30,7 @@
                                     `peers` */
   size_t seeds_count;
   mt_ms_t grace;       /* from the stop signal until the process is killed */
-  int log_lines_per_s; /* log lines a second, of each priority */
+  int log_lines_per_s; /* log lines a second, of each class */
   size_t descriptors;  /* file descriptors that the process may open */
   mt_relay_params_t params; /* parameters of the relay's decisions */
 } mt_gateway_settings_t;
--- a/src/gateway/gateway_log.h
+++ b/src/gateway/gateway_log.h
@@ -10,7 +10,8 @@
 #include "relay.h"
 
 /* Logs the outcome of an attempt or of a request. Answers to a first attempt
-   have the lowest priority: they are dropped first. */
+   have a class of their own, with its own rate limit (log_writer.h), so that
+   however many there are, lines about failures are not dropped for them. */
 void mt_gateway_log_request (mt_log_writer_t *log, const mt_relay_t *relay,
                              const mt_relay_request_t *request,
                              const char *outcome, const char *why);
--- a/src/gateway/gateway_peers.h
+++ b/src/gateway/gateway_peers.h
@@ -91,13 +91,13 @@
                                 mt_feed_kind_t kind, mt_revision_t newest,
                                 mt_revision_t at, mt_feed_reading_t reading);
 /* A list of all engines was read; `seen` holds the keys of their names. To be
-   called before set_feed. */
+   called before mt_gateway_peers_set_feed. */
 void mt_gateway_peers_engines_listed (mt_gateway_peers_t *peers,
                                       const mt_map_t *seen,
                                       mt_revision_t rev);
 /* This change was read from the source. To be called before the next
-   set_feed. False if a later change of the same subject is known, which then
-   stands. */
+   mt_gateway_peers_set_feed. False if a later change of the same subject is
+   known, which then stands. */
 bool mt_gateway_peers_source_changed (mt_gateway_peers_t *peers,
                                       const mt_change_t *change);
 /* The time since which other routers have known changes of a feed that were
--- a/src/gateway/gateway_settings.c
+++ b/src/gateway/gateway_settings.c
@@ -14,7 +14,7 @@
 /* Of that: how long an engine that is unlisted without a drain still gets
    requests. */
 #define UNLISTED_FRACTION 0.6
-#define LOG_LINES_PER_S 100      /* of each priority */
+#define LOG_LINES_PER_S 100      /* of each class */
 #define DESCRIPTORS_DEFAULT 1024 /* if the system's limit cannot be read */
 #define DESCRIPTORS_MAX 65536
 #define RETRY_RATIO 0.1 /* retries for each request */
--- a/src/gateway/membership.c
+++ b/src/gateway/membership.c
@@ -9,7 +9,8 @@
    time. */
 #define PEER_TIMEOUT_MS 2500
 #define PROBE_INTERVAL_MS 1000 /* between probes of one address */
-#define STARTUP_MS 3000        /* without a limit on probes */
+/* For so long after the start that interval does not apply. */
+#define STARTUP_MS 3000
 /* After the start peers may not be known yet, and the present owners of
    engines do not know this router. */
 #define SETTLE_MS 1500
--- a/src/gateway/share_exchange.c
+++ b/src/gateway/share_exchange.c
@@ -7,7 +7,7 @@
 #include "share_exchange.h"
 
 #define ROUND_INTERVAL_MIN_MS 150 /* between two rounds */
-#define ROUND_BYTES_PER_S 8000    /* that a router sends in rounds */
+#define ROUND_BYTES_PER_S 8000    /* that a router sends in rounds, about */
 /*
 ** Messages of a round have a row for each workspace, so rounds are rare where
 ** boxes and workspaces are many. Heartbeats between them show which routers
@@ -16,7 +16,8 @@
 ** other router replaces.
 */
 #define HEARTBEAT_MS 1000
-#define HEARTBEAT_BYTES_PER_S 4000 /* that a router sends in heartbeats */
+/* That a router sends in heartbeats, about. */
+#define HEARTBEAT_BYTES_PER_S 4000
 /* Members that a heartbeat names are live for so many heartbeat intervals.
    When its sender ends, the group notices after three of them and another
    member sends from then on. */
@@ -155,7 +156,7 @@
   }
 }
 
-/* Sums up the rates of the other routers in this group. */
+/* Sums up the rates of the other routers in the own group. */
 static void sum_group (mt_share_exchange_t *x) {
   const mt_membership_t *members = x->members;
   for (size_t i = 0; i < x->shares->count; i++)
@@ -234,7 +235,7 @@
   }
 }
 
-/* The other live routers of this group. */
+/* The other live routers of the own group. */
 static size_t list_group (const mt_membership_t *members, uint32_t *to,
                           size_t max) {
   size_t count = 0;
