--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -169,7 +169,7 @@
   if (r != NULL) mt_gateway_peers_request_sent(g->peers, r);
 }
 
-static void do_ask (mt_gateway_t *g, const mt_relay_effect_t *fx) {
+static void do_get_quotes (mt_gateway_t *g, const mt_relay_effect_t *fx) {
   const mt_relay_request_t *r = mtV_get(&g->relay->requests, fx->request);
   if (r != NULL) mt_gateway_peers_request_quotes(g->peers, r);
 }
@@ -205,7 +205,7 @@
   if (p == NULL) return;
   switch (fx->kind) {
     case MT_RELAY_DO_REFUSE: do_refuse(g, p, fx); break;
-    case MT_RELAY_DO_GET_QUOTES: do_ask(g, fx); break;
+    case MT_RELAY_DO_GET_QUOTES: do_get_quotes(g, fx); break;
     case MT_RELAY_DO_START: do_start(g, p, fx); break;
     case MT_RELAY_DO_CANCEL: abandon_attempt(p); break;
     case MT_RELAY_DO_HEAD:
@@ -232,9 +232,9 @@
 /*
 ** Effects are carried out in order, and some of them cause another event at
 ** once, which is handled in a nested call. Only four events nest: WRITTEN
-** has no effects, and those of QUOTED, TRIED and CALLER_DISCONNECTED concern
-*only
-** the request whose effect is being carried out.
+** has no effects, and those of QUOTED, TRIAL_ANSWERED and
+** CALLER_DISCONNECTED concern only the request whose effect is being carried
+** out.
 */
 void mt_gateway_step (mt_gateway_t *g, mt_relay_event_t *event) {
   mt_relay_effects_t effects = {0};
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -30,7 +30,7 @@
                                     `peers` */
   size_t seeds_count;
   mt_ms_t grace;       /* from the stop signal until the process is killed */
-  int log_lines_per_s; /* log lines a second, of each priority */
+  int log_lines_per_s; /* log lines a second, of each class */
   size_t descriptors;  /* file descriptors that the process may open */
   mt_relay_params_t params; /* parameters of the relay's decisions */
 } mt_gateway_settings_t;
@@ -42,7 +42,7 @@
   const char *service;
   int slots; /* requests that it runs at a time */
   bool draining;
-  int64_t started_at; /* start time, ms since the epoch; 0: unknown */
+  int64_t started_at; /* start time, ms since 1970; 0: unknown */
   mt_ms_t cold; /* time that it stays cold, with a limited request rate; 0:
                    warm */
 } mt_gateway_engine_t;
