--- a/src/mtfront.c
+++ b/src/mtfront.c
@@ -504,9 +504,8 @@
   size_t rest = path.n - end;
   if (end == at || method.n >= 8 ||
       rest + query.n + 3 > sizeof((request_t *)0)->path) {
-    refusenow(
-        O, r, MT_BAD_REQUEST,
-        "the path must be /services/NAME and at most 509 bytes of path and query; the method has at most 7 bytes");
+    refusenow(O, r, MT_BAD_REQUEST,
+              "the path must be /services/NAME/... and not too long");
     return;
   }
   request_t *c = new_request(O, r);
