--- a/src/gateway/peer_message.c
+++ b/src/gateway/peer_message.c
@@ -102,7 +102,7 @@
   msgpack_pack_array(pk, m->shares_count * SHARE_FIELDS);
   for (size_t i = 0; i < m->shares_count; i++) {
     msgpack_pack_uint32(pk, m->shares[i].workspace);
-    msgpack_pack_uint64(pk, to_unsigned(m->shares[i].rates.asked));
+    msgpack_pack_uint64(pk, to_unsigned(m->shares[i].rates.demand));
     msgpack_pack_uint64(pk, to_unsigned(m->shares[i].rates.served));
   }
 }
@@ -351,7 +351,7 @@
     if (workspace == 0) continue;
     mt_peer_share_t *share = &m->shares[m->shares_count++];
     share->workspace = workspace;
-    share->rates.asked = (double)unpack_bounded(&at[1], TOKENS_MAX);
+    share->rates.demand = (double)unpack_bounded(&at[1], TOKENS_MAX);
     share->rates.served = (double)unpack_bounded(&at[2], TOKENS_MAX);
   }
 }
--- a/src/gateway/share_exchange.c
+++ b/src/gateway/share_exchange.c
@@ -150,7 +150,7 @@
   for (size_t i = 0; i < count; i++) {
     mt_share_t *share = mt_fair_share_of_peer(x->shares, rows[i].workspace);
     if (share == NULL) continue;
-    share->peers.asked += rows[i].rates.asked;
+    share->peers.demand += rows[i].rates.demand;
     share->peers.served += rows[i].rates.served;
   }
 }
@@ -202,10 +202,10 @@
     const mt_share_t *share = x->shares->list[i];
     mt_share_rates_t rates = share->local;
     if (scope == SCOPE_SUM) {
-      rates.asked += share->peers.asked;
+      rates.demand += share->peers.demand;
       rates.served += share->peers.served;
     }
-    if (rates.asked < SHARE_MIN && rates.served < SHARE_MIN) continue;
+    if (rates.demand < SHARE_MIN && rates.served < SHARE_MIN) continue;
     if (m->shares_count >= MT_PEER_SHARES_MAX) return;
     m->shares[m->shares_count++] = (mt_peer_share_t){share->workspace, rates};
   }
--- a/src/net/boot_clock.c
+++ b/src/net/boot_clock.c
@@ -5,8 +5,9 @@
 
 #include "boot_clock.h"
 
-/* Suspended time is counted in such steps: readings of the two clocks differ
-   by less without a suspend, and time must not go back by that. */
+/* Suspended time is rounded down to a multiple of this: without a suspend the
+   difference between the clocks varies by less from reading to reading, and
+   that variation must not make time go back. */
 #define GRANULARITY_MS 10
 #define NS_PER_MS 1000000
 
--- a/src/net/boot_clock.h
+++ b/src/net/boot_clock.h
@@ -14,15 +14,16 @@
 #include "mtobject.h"
 
 typedef struct mt_boot_clock_t {
-  int64_t offset_ns; /* CLOCK_BOOTTIME less CLOCK_MONOTONIC at the opening */
-  mt_ms_t suspended; /* since then; it never decreases */
+  int64_t offset_ns; /* CLOCK_BOOTTIME minus CLOCK_MONOTONIC when opened */
+  mt_ms_t suspended; /* total since then; never decreases */
 } mt_boot_clock_t;
 
 /* Attaches the clock to the loop, as loop->data; a loop without one keeps its
    own time. */
 void mt_boot_clock_open (mt_boot_clock_t *clock, uv_loop_t *loop);
 
-/* Time spent suspended since the opening; 0 for a loop without a clock. */
+/* Time spent suspended since mt_boot_clock_open; 0 for a loop without a
+   clock. */
 mt_ms_t mt_boot_clock_suspended (const uv_loop_t *loop);
 
 /* The loop's time plus the time spent suspended; never goes back. */
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -12,8 +12,8 @@
 #include "boot_clock.h"
 
 #define READ_BYTES 65536
-#define SKIPPED_MAX 3       /* responses skipped before one call fails */
-#define IDLE_MARGIN_MS 1000 /* below the keep-alive timeout of the server */
+#define SKIPPED_MAX 3       /* responses that one call may skip */
+#define IDLE_MARGIN_MS 1000 /* closed this long before the server would */
 
 /* A connection and the call on it: there is at most one at a time. */
 struct mt_http_call_t {
@@ -24,17 +24,18 @@
   mt_http_call_t *idle_next;   /* idle ones of the endpoint */
   uint64_t key;
   void *ud;
-  /* `keep`: reusable after the response; `skipping`: the response is of an
-     earlier call; `until_close`: it ends with the connection. */
+  /* `busy`: has a call; `keep`: reusable after the response; `skipping`: the
+     response is of an earlier call; `until_close`: the response ends with the
+     connection. */
   bool busy, connected, closing, keep, skipping, until_close, paused;
-  bool probing;       /* connecting without a call */
-  bool head_received; /* the head of the call's response has come */
-  mt_ms_t linger;     /* the call has ended, and the connection is closed
-                         then; 0: not lingering */
-  bool refused;       /* the connection was refused */
-  int skipped;        /* responses that were skipped */
-  size_t writing;     /* unfinished writes */
-  char *request;      /* until the connection is up */
+  bool probing;         /* connecting without a call */
+  bool head_received;   /* the head of the call's response has arrived */
+  mt_ms_t linger_until; /* the call has ended, and its connection is closed
+                           at this time; 0: not lingering */
+  bool refused;         /* the connection was refused */
+  int skipped;          /* responses that were skipped */
+  size_t writing;       /* unfinished writes */
+  char *request;        /* until the connection is made */
   size_t request_size;
   mt_ms_t since;      /* connecting or idle since; 0: connecting failed */
   mt_ms_t idle_limit; /* how long it may stay idle */
@@ -49,7 +50,7 @@
   mt_http_call_t *all;
   mt_map_t idle; /* endpoint -> its most recently used idle connection */
   size_t count;
-  mt_ms_t ticked; /* the last tick */
+  mt_ms_t last_tick;
   uint64_t opened;
   char input[READ_BYTES];
 };
@@ -95,13 +96,13 @@
   uv_close((uv_handle_t *)&c->tcp, on_closed);
 }
 
-static void fail (mt_http_call_t *c, mt_http_failure_t why) {
+static void fail (mt_http_call_t *c, mt_http_failure_t failure) {
   bool busy = c->busy && !c->closing;
   bool probing = c->probing && !c->closing;
   close_connection(c);
-  if (busy) c->client->handler.failed(c->ud, c, why);
-  mt_http_probe_t how = c->refused ? MT_HTTP_REFUSED : MT_HTTP_UNREACHABLE;
-  if (probing) c->client->handler.probed(c->ud, c->key, how);
+  if (busy) c->client->handler.failed(c->ud, c, failure);
+  mt_http_probe_t result = c->refused ? MT_HTTP_REFUSED : MT_HTTP_UNREACHABLE;
+  if (probing) c->client->handler.probed(c->ud, c->key, result);
 }
 
 static void add_idle (mt_http_call_t *c) {
@@ -112,7 +113,7 @@
   mtV_put(&c->client->idle, c->key, c);
 }
 
-/* The response is complete: keeps the connection if it can be reused. */
+/* The response is complete: keeps the connection open if it can be reused. */
 static void finish (mt_http_call_t *c) {
   void *ud = c->ud;
   if (c->keep && c->writing == 0 && !c->paused) {
@@ -170,7 +171,7 @@
       !c->client->handler.head(c->ud, c, parser->status_code, &c->headers);
   if (c->closing) return 1;
   c->head_received = !c->skipping;
-  if (c->head_received && c->linger != 0) return -1;
+  if (c->head_received && c->linger_until != 0) return -1;
   if (c->skipping && ++c->skipped > SKIPPED_MAX) return -1;
   return 0;
 }
@@ -328,7 +329,8 @@
 
 /* {== Calls ============================================================ */
 
-/* The idle connection used last: the one least likely to be closed by now. */
+/* The idle connection used last: the server is least likely to have closed
+   that one. */
 static mt_http_call_t *take_idle (mt_http_client_t *client, uint64_t key,
                                   mt_ms_t max_idle_ms) {
   mt_ms_t now = mt_boot_clock_now(client->loop);
@@ -349,7 +351,7 @@
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof timeout);
 }
 
-/* A connect that fails immediately is reported by the next tick. */
+/* A connection attempt that fails at once is reported by the next tick. */
 static mt_http_call_t *connect_to (mt_http_client_t *client,
                                    const mt_http_endpoint_t *endpoint) {
   struct sockaddr_in addr;
@@ -385,8 +387,8 @@
 }
 
 static void make_room (mt_http_client_t *client) {
-  size_t most = client->options.connections;
-  if (most > 0 && client->count >= most) close_oldest_idle(client);
+  size_t max = client->options.connections;
+  if (max > 0 && client->count >= max) close_oldest_idle(client);
 }
 
 static void save_request (mt_http_call_t *c, mt_bytes_t head,
@@ -403,15 +405,15 @@
                                      mt_bytes_t head, mt_bytes_t body,
                                      mt_ms_t max_idle_ms, void *ud) {
   mt_http_call_t *c = take_idle(client, endpoint->key, max_idle_ms);
-  bool kept = c != NULL;
-  if (!kept) {
+  bool reused = c != NULL;
+  if (!reused) {
     make_room(client);
     c = connect_to(client, endpoint);
   }
   c->busy = true;
   c->ud = ud;
   begin_response(c);
-  if (kept)
+  if (reused)
     send_request(c, head, body);
   else
     save_request(c, head, body);
@@ -434,7 +436,7 @@
   if (c->closing || !c->connected || c->writing > 0 || c->head_received)
     return false;
   mt_http_call_pause(c, false);
-  c->linger = mt_boot_clock_now(c->client->loop) + ms;
+  c->linger_until = mt_boot_clock_now(c->client->loop) + ms;
   return true;
 }
 
@@ -472,7 +474,7 @@
 /* Connections are freed in the loop's next iterations. */
 void mt_http_client_close (mt_http_client_t *client) {
   while (client->all != NULL) {
-    if (client->all->linger != 0)
+    if (client->all->linger_until != 0)
       fail(client->all, MT_HTTP_CLOSED);
     else
       close_connection(client->all);
@@ -488,19 +490,22 @@
 
 void mt_http_client_tick (mt_http_client_t *client) {
   mt_ms_t now = mt_boot_clock_now(client->loop);
-  mt_ms_t seen = client->ticked; /* events up to then were processed */
+  /* A connection made while the loop was blocked is reported only after this
+     tick. Up to the previous tick all events have been processed, so only a
+     limit that had passed by then counts as exceeded. */
+  mt_ms_t previous = client->last_tick;
   mt_http_call_t *next;
   for (mt_http_call_t *c = client->all; c != NULL; c = next) {
     next = c->next;
-    bool late = seen > c->since + client->options.connect_ms;
-    if (!c->connected && late)
+    bool timed_out = previous > c->since + client->options.connect_ms;
+    if (!c->connected && timed_out)
       fail(c, MT_HTTP_NOT_SENT);
     else if (c->connected && !c->busy && now - c->since > c->idle_limit)
       close_connection(c);
-    else if (c->linger != 0 && now >= c->linger)
+    else if (c->linger_until != 0 && now >= c->linger_until)
       fail(c, MT_HTTP_CLOSED);
   }
-  client->ticked = now;
+  client->last_tick = now;
 }
 
 uint64_t mt_http_client_opened (const mt_http_client_t *client) {
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -31,7 +31,7 @@
 } mt_http_probe_t;
 
 typedef struct mt_http_call_handler_t {
-  /* A new connection is up and the request is being sent; may be NULL. */
+  /* A new connection is made and the request is being sent; may be NULL. */
   void (*sent)(void *ud, mt_http_call_t *call);
   /*
   ** Status and header fields of a response. False skips the response: it does
@@ -44,9 +44,9 @@
   /* The last callback is `end`, after a complete response, or `failed`; the
      call is not valid afterwards. */
   void (*end)(void *ud, mt_http_call_t *call);
-  void (*failed)(void *ud, mt_http_call_t *call, mt_http_failure_t why);
-  /* The result of a probe; NULL if none is made. */
-  void (*probed)(void *ud, uint64_t endpoint, mt_http_probe_t how);
+  void (*failed)(void *ud, mt_http_call_t *call, mt_http_failure_t failure);
+  /* The result of a probe; may be NULL if the client makes none. */
+  void (*probed)(void *ud, uint64_t endpoint, mt_http_probe_t result);
 } mt_http_call_handler_t;
 
 typedef struct mt_http_endpoint_t {
@@ -56,9 +56,9 @@
 } mt_http_endpoint_t;
 
 typedef struct mt_http_client_options_t {
-  mt_ms_t connect_ms; /* limit for connecting */
-  mt_ms_t idle_ms;    /* idle connections are closed after this */
-  size_t connections; /* at so many a new one evicts an idle one; 0: never */
+  mt_ms_t connect_ms;    /* limit for connecting */
+  mt_ms_t idle_ms;       /* idle connections are closed after this time */
+  size_t connections;    /* at this number an idle one is evicted; 0: never */
   unsigned user_timeout; /* TCP_USER_TIMEOUT, ms: for unacknowledged data */
 } mt_http_client_options_t;
 
--- a/src/net/http_headers.c
+++ b/src/net/http_headers.c
@@ -103,7 +103,7 @@
   return (mt_bytes_t){"", 0};
 }
 
-/* True when a comma-separated list has this token, in any case. */
+/* True when a comma-separated list has this token, ignoring case. */
 static bool list_contains (mt_bytes_t list, mt_bytes_t token) {
   const char *p = list.p, *end = list.p + list.n;
   while (p < end) {
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -32,7 +32,8 @@
 void mt_http_headers_append_value (mt_http_headers_t *headers, const char *p,
                                    size_t n);
 
-/* The value of the first field with this name, in any case; n 0: none. */
+/* The value of the first field with this name, ignoring case; its `n` is 0 if
+   there is none. */
 mt_bytes_t mt_http_headers_find (const mt_http_headers_t *headers,
                                  const char *name);
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -14,11 +14,11 @@
 #include "mtmem.h"
 #include "boot_clock.h"
 
-#define READ_BYTES 65536 /* of a read buffer that all connections share */
-#define PIPELINED_MAX_BYTES (64u << 10) /* beyond: reading stops */
+#define READ_BYTES 65536 /* of the read buffer that all connections share */
+#define PIPELINED_BYTES_MAX (64u << 10) /* beyond: reading stops */
 #define LISTEN_BACKLOG 511
 #define USER_TIMEOUT_MS 10000 /* for unacknowledged data */
-#define TARGET_MAX_BYTES 8192 /* of a request target */
+#define TARGET_BYTES_MAX 8192 /* of a request target */
 
 typedef enum mt_exchange_state_t {
   STATE_IDLE,      /* waiting for a request */
@@ -46,7 +46,7 @@
   mt_http_headers_t headers;
   buffer_t target, body, pipelined, out;
   size_t writing; /* bytes passed to libuv and not yet written */
-  mt_ms_t since;  /* when it became IDLE or READING */
+  mt_ms_t since;  /* when it became STATE_IDLE or STATE_READING */
   void *user;
 };
 
@@ -213,7 +213,7 @@
 
 static int on_target (http_parser *parser, const char *p, size_t n) {
   mt_http_exchange_t *x = parser->data;
-  if (x->target.n + n > TARGET_MAX_BYTES) return 1;
+  if (x->target.n + n > TARGET_BYTES_MAX) return 1;
   buffer_add(&x->target, p, n);
   return 0;
 }
@@ -336,7 +336,7 @@
     return;
   }
   buffer_add(&x->pipelined, buf->base, (size_t)n);
-  if (x->pipelined.n > PIPELINED_MAX_BYTES) uv_read_stop(stream);
+  if (x->pipelined.n > PIPELINED_BYTES_MAX) uv_read_stop(stream);
 }
 
 /* After a response is written: reads the next request or closes. */
@@ -372,9 +372,9 @@
 }
 
 /*
-** No descriptor is left to accept a connection with. The loop would retry at
-** once and forever, so one must be freed here; a connection that is accepted
-** with the spare one is closed.
+** Frees a descriptor when none is left to accept a connection: otherwise the
+** loop would retry at once and forever. A connection that is accepted with
+** the spare descriptor is closed.
 */
 static void release_descriptor (mt_http_server_t *server) {
   if (close_oldest_idle(server) || server->spare_fd < 0) return;
@@ -382,7 +382,8 @@
   server->spare_fd = -1;
 }
 
-/* True when a new connection may stay; at the limit closes an idle one. */
+/* True when a new connection may stay open. At the limit closes an idle
+   one. */
 static bool make_room (mt_http_server_t *server) {
   if (server->spare_fd < 0) return false;
   if (server->max_connections == 0 || server->count < server->max_connections)
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -56,7 +56,7 @@
 /* Sets whether each response closes its connection from now on. */
 void mt_http_server_drain (mt_http_server_t *server, bool drain);
 
-/* Closes the connections without a request or a part of one. */
+/* Closes the connections on which no request or part of one has arrived. */
 void mt_http_server_close_idle (mt_http_server_t *server);
 
 /* Accepts no more connections; existing ones go on. */
@@ -76,12 +76,12 @@
 mt_bytes_t mt_http_exchange_body (const mt_http_exchange_t *exchange);
 const mt_http_headers_t *
 mt_http_exchange_headers (const mt_http_exchange_t *exchange);
-/* A pointer of the handler, NULL at first. */
+/* A pointer for use by the handler; NULL at first. */
 void *mt_http_exchange_user (const mt_http_exchange_t *exchange);
 void mt_http_exchange_set_user (mt_http_exchange_t *exchange, void *user);
 /*
-** Checks the socket for whether the caller has disconnected, which the loop
-** may not have noticed yet. False when it has: `gone` has been called, and
+** Checks the socket: the caller may have disconnected without the loop having
+** noticed yet. False when it has disconnected: `gone` has been called, and
 ** the exchange is no longer valid.
 */
 bool mt_http_exchange_check_connected (mt_http_exchange_t *exchange);
--- a/src/net/log_writer.c
+++ b/src/net/log_writer.c
@@ -54,8 +54,9 @@
 }
 
 /*
-** Time of day, so that the logs of several boxes can be merged, and the
-** monotonic time of this one, which no step of the time of day changes.
+** Starts a line with the time of day, so that the logs of several boxes can
+** be merged, and with this box's monotonic time, which does not jump when the
+** time of day is set.
 */
 static int start_line (const mt_log_writer_t *log, char *line, size_t size,
                        mt_ms_t now, const char *event) {
--- a/src/relay/catalog.h
+++ b/src/relay/catalog.h
@@ -29,7 +29,7 @@
   bool resumable;    /* streams: another engine may continue one */
   bool open;         /* needs no API key */
   mt_ms_t timeout;   /* of a request, end to end; 0: MT_WAIT_MAX_MS */
-  mt_ms_t objective; /* latency target: of a stream, for its first event */
+  mt_ms_t objective; /* latency target; of a stream: of its first event */
   mt_ms_t pause;     /* streams: target for the time between events */
   int priority;      /* 0 is the most urgent */
   int attempts;      /* engines that one request may be sent to */
@@ -55,13 +55,13 @@
 typedef struct mt_catalog_workspace_t {
   char *name;
   mt_id_t id;
-  int priority; /* -1: the route's */
+  int priority; /* -1: the route's applies */
 } mt_catalog_workspace_t;
 
 /* An API key; keys with the same hash are chained. */
 typedef struct mt_catalog_key_t {
   struct mt_catalog_key_t *next;
-  size_t workspace; /* index in the catalog's list */
+  size_t workspace; /* index in the catalog's `workspaces` */
   size_t size;
   char text[];
 } mt_catalog_key_t;
--- a/src/relay/catalog_diff.c
+++ b/src/relay/catalog_diff.c
@@ -9,23 +9,23 @@
 /* {== Keys ============================================================= */
 
 /* True if the key belongs to the same workspace in both versions. */
-static bool maps_to_same_workspace (const mt_catalog_t *in,
+static bool maps_to_same_workspace (const mt_catalog_t *other,
                                     const mt_catalog_key_t *key,
-                                    const mt_catalog_t *of) {
+                                    const mt_catalog_t *catalog) {
   const mt_catalog_workspace_t *w =
-      mt_catalog_find_workspace(in, (mt_bytes_t){key->text, key->size});
-  return w != NULL && w->id == of->workspaces[key->workspace].id;
+      mt_catalog_find_workspace(other, (mt_bytes_t){key->text, key->size});
+  return w != NULL && w->id == catalog->workspaces[key->workspace].id;
 }
 
 /* Reports the keys of one version that the other lacks. */
 static void
-report_missing_keys (const mt_catalog_t *of, const mt_catalog_t *other,
+report_missing_keys (const mt_catalog_t *catalog, const mt_catalog_t *other,
                      bool granted,
                      const mt_catalog_diff_callbacks_t *callbacks) {
-  mtV_each (&of->keys, i) {
-    const mt_catalog_key_t *key = of->keys.vals[i];
+  mtV_each (&catalog->keys, i) {
+    const mt_catalog_key_t *key = catalog->keys.vals[i];
     for (; key != NULL; key = key->next)
-      if (!maps_to_same_workspace(other, key, of))
+      if (!maps_to_same_workspace(other, key, catalog))
         callbacks->key(callbacks->ud, (mt_bytes_t){key->text, key->size},
                        granted);
   }
@@ -35,10 +35,10 @@
 
 /* {== Routes =========================================================== */
 
-static const mt_catalog_route_t *find_route (const mt_catalog_t *in,
+static const mt_catalog_route_t *find_route (const mt_catalog_t *catalog,
                                              const mt_catalog_route_t *like) {
-  for (size_t i = 0; i < in->routes_count; i++) {
-    const mt_catalog_route_t *r = &in->routes[i];
+  for (size_t i = 0; i < catalog->routes_count; i++) {
+    const mt_catalog_route_t *r = &catalog->routes[i];
     if (r->id != like->id) continue;
     if (strcmp(r->host, like->host) != 0) continue;
     if (strcmp(r->prefix, like->prefix) == 0) return r;
@@ -52,13 +52,14 @@
   return false;
 }
 
-/* Reports the services of one version's routes that the other's lack. */
+/* Reports the services that routes of one version lead to and the same routes
+   of the other version do not. */
 static void
-report_missing_routes (const mt_catalog_t *of, const mt_catalog_t *other,
+report_missing_routes (const mt_catalog_t *catalog, const mt_catalog_t *other,
                        bool opened,
                        const mt_catalog_diff_callbacks_t *callbacks) {
-  for (size_t i = 0; i < of->routes_count; i++) {
-    const mt_catalog_route_t *r = &of->routes[i];
+  for (size_t i = 0; i < catalog->routes_count; i++) {
+    const mt_catalog_route_t *r = &catalog->routes[i];
     const mt_catalog_route_t *same = find_route(other, r);
     for (int k = 0; k < r->splits; k++) {
       mt_id_t service = r->split[k].service;
--- a/src/relay/catalog_diff.h
+++ b/src/relay/catalog_diff.h
@@ -16,9 +16,9 @@
 } mt_catalog_diff_callbacks_t;
 
 /*
-** Reports each key and each service of a route that only one of the versions
-** has. A route that keeps its name but changes its host or prefix counts as
-** another route.
+** Reports each key, and each pair of a route and a service, that only one of
+** the versions has. A route that keeps its name but changes its host or
+** prefix counts as another route.
 */
 void mt_catalog_diff (const mt_catalog_t *from, const mt_catalog_t *to,
                       const mt_catalog_diff_callbacks_t *callbacks);
--- a/src/relay/denials.h
+++ b/src/relay/denials.h
@@ -12,8 +12,9 @@
 #include "revision.h"
 
 typedef struct mt_denied_key_t {
-  char digest[MT_DIGEST_HEX + 1]; /* SHA-256 of the key, hexadecimal */
-  mt_revision_t rev;              /* source revision of the revocation */
+  /* SHA-256 of the key, hexadecimal: routers do not send each other keys. */
+  char digest[MT_DIGEST_HEX + 1];
+  mt_revision_t rev; /* source revision of the revocation */
 } mt_denied_key_t;
 
 typedef struct mt_denied_route_t {
@@ -40,8 +41,8 @@
 bool mt_denials_has_route (const mt_denials_t *denials, mt_id_t route,
                            mt_id_t service);
 
-/* Drops denials up to the revision of the configuration now in force, which
-   contains them. */
+/* Drops denials up to `rev`, the revision of the configuration now in force:
+   it contains those changes itself. */
 void mt_denials_prune (mt_denials_t *denials, mt_revision_t rev);
 
 #endif
--- a/src/relay/early_drains.c
+++ b/src/relay/early_drains.c
@@ -10,10 +10,10 @@
 }
 
 static mt_early_drain_t *oldest (mt_early_drains_t *l) {
-  mt_early_drain_t *old = &l->list[0];
+  mt_early_drain_t *found = &l->list[0];
   for (size_t i = 1; i < l->count; i++)
-    if (l->list[i].drain.since < old->drain.since) old = &l->list[i];
-  return old;
+    if (l->list[i].drain.since < found->drain.since) found = &l->list[i];
+  return found;
 }
 
 static bool is_newer (const mt_engine_drain_t *a,
--- a/src/relay/early_drains.h
+++ b/src/relay/early_drains.h
@@ -22,8 +22,8 @@
   size_t count;
 } mt_early_drains_t;
 
-/* Adds a notice; of one engine the one of its latest incarnation is kept, and
-   of that the newest. */
+/* Adds a notice. Of each engine only one is kept: the newest notice of its
+   latest incarnation. */
 void mt_early_drains_add (mt_early_drains_t *drains, uint64_t engine,
                           const mt_engine_drain_t *drain);
 
--- a/src/relay/engine.c
+++ b/src/relay/engine.c
@@ -11,7 +11,7 @@
 #define SUSPEND_FIRST_MS 200
 #define SUSPEND_MAX_MS 3200
 #define PROBE_INTERVAL_MS 200 /* between probes of an unreachable engine */
-#define FAILURES_TOLERATED 1  /* in a row, without a suspension */
+#define FAILURES_TOLERATED 1  /* consecutive ones that cause no suspension */
 /* An overloaded engine cannot predict its load beyond a minute, and a backoff
    of a year, sent by mistake, must not disable it. */
 #define BACKOFF_MAX_MS 60000
@@ -119,7 +119,7 @@
   e->unreachable = !up;
   if (!up) activate(e);
   e->probing = false;
-  e->probe = now + PROBE_INTERVAL_MS;
+  e->next_probe = now + PROBE_INTERVAL_MS;
   if (up) mt_engine_succeeded(e, now);
 }
 
@@ -137,32 +137,33 @@
 
 bool mt_engine_apply_drain (mt_engine_t *e, const mt_engine_drain_t *drain,
                             mt_ms_t now) {
-  bool known = mt_engine_is_draining(e, now);
+  bool was_draining = mt_engine_is_draining(e, now);
   if (drain->started_at != 0 && drain->started_at < e->started_at)
     return false;
-  if (known && drain->gossiped && drain->since <= e->drain.since)
+  if (was_draining && drain->gossiped && drain->since <= e->drain.since)
     return false;
-  bool gossiped_only = drain->gossiped && (!known || e->drain.gossiped);
+  bool gossiped_only =
+      drain->gossiped && (!was_draining || e->drain.gossiped);
   e->drain = *drain;
   e->drain.gossiped = gossiped_only;
-  return !known && mt_engine_is_draining(e, now);
+  return !was_draining && mt_engine_is_draining(e, now);
 }
 
 bool mt_engine_set_backoff (mt_engine_t *e, mt_ms_t backoff, mt_ms_t now) {
-  bool known = e->backoff > now;
+  bool in_effect = e->backoff_until > now;
   backoff = mt_min(backoff, (mt_ms_t)BACKOFF_MAX_MS);
   if (backoff == 0) return false;
   backoff += mtV_mix(e->key, now) % (backoff / BACKOFF_JITTER_DIVISOR + 1);
-  if (now + backoff <= e->backoff) return false;
-  e->backoff = now + backoff;
+  if (now + backoff <= e->backoff_until) return false;
+  e->backoff_until = now + backoff;
   e->half_open_since = 0;
-  return !known;
+  return !in_effect;
 }
 
 mt_ms_t mt_engine_backoff_left (const mt_engine_t *e, mt_ms_t now) {
-  mt_ms_t over = e->half_open_since != 0 ? e->half_open_since + HALF_OPEN_MS
-                                         : e->backoff;
-  return over > now ? over - now : 0;
+  mt_ms_t end = e->half_open_since != 0 ? e->half_open_since + HALF_OPEN_MS
+                                        : e->backoff_until;
+  return end > now ? end - now : 0;
 }
 
 bool mt_engine_takes_work (const mt_engine_t *e, mt_ms_t now) {
@@ -171,11 +172,11 @@
 }
 
 void mt_engine_request_sent (mt_engine_t *e, mt_ms_t now) {
-  if (e->backoff == 0) return;
+  if (e->backoff_until == 0) return;
   if (e->half_open_since == 0)
     e->half_open_since = now;
   else
-    e->backoff = e->half_open_since = 0;
+    e->backoff_until = e->half_open_since = 0;
 }
 
 double mt_engine_rejection_rate (const mt_engine_t *e, mt_ms_t now) {
@@ -192,7 +193,7 @@
 
 void mt_engine_request_accepted (mt_engine_t *e, mt_ms_t sent, mt_ms_t now) {
   if (e->half_open_since != 0 && sent >= e->half_open_since)
-    e->backoff = e->half_open_since = 0;
+    e->backoff_until = e->half_open_since = 0;
   record_attempt(e, false, now);
 }
 
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -14,7 +14,8 @@
 typedef enum mt_engine_state_t {
   MT_ENGINE_READY,
   MT_ENGINE_DRAINING, /* finishes its requests and gets no new ones */
-  MT_ENGINE_GONE      /* removed from the list, or replaced at its address */
+  /* Removed from the list, or another one answers at its address. */
+  MT_ENGINE_GONE
 } mt_engine_state_t;
 
 /* What an engine advertises about itself in an answer. */
@@ -47,7 +48,7 @@
 typedef struct mt_engine_t {
   struct mt_engines_t *table; /* the table that contains it */
   size_t list_index;          /* its index in the table's list */
-  bool active;                /* it is in the table's list of active ones */
+  bool active;                /* it is in the table's `active` list */
   uint64_t key;               /* hash of its name; never 0 */
   int64_t started_at;         /* of its process, ms since 1970; 0: unknown */
   char *name, *domain;
@@ -71,14 +72,14 @@
   double rejection_rate;   /* of this router's attempts, as of `rate_at` */
   mt_ms_t rate_at;         /* last accepted or rejected attempt; 0: none */
   mt_ms_t suspended_until; /* gets no requests before this time */
-  mt_ms_t backoff;         /* end of the backoff that it asked for; 0: none */
+  mt_ms_t backoff_until;   /* end of the backoff that it asked for; 0: none */
   mt_ms_t half_open_since; /* when the trial request was sent; 0: not yet */
   mt_engine_drain_t drain;
   bool unreachable; /* the last connection attempt failed: no requests until
                        one succeeds */
   bool probing;     /* a probe is in progress */
-  mt_ms_t probe;    /* time of the next probe */
-  mt_ms_t last_received;    /* when it last answered anything */
+  mt_ms_t next_probe;
+  mt_ms_t last_received;    /* when it last sent any response */
   mt_prefix_cache_t cached; /* prompt segments that it probably has cached */
   int64_t tokens_processed; /* of this router's requests, prompt and output */
 } mt_engine_t;
@@ -87,9 +88,9 @@
   mt_map_t by_key;
   mt_engine_t **list;
   size_t count, cap;
-  /* Engines that ticks check: those with unreported load or running requests
-     and those out of reach. A router of a large fleet uses few of its
-     engines, so ticks do not scan them all. */
+  /* Engines that ticks check: those with unreported load, those that run
+     requests of this router and those that are unreachable. A router of a
+     large fleet uses few of its engines, so ticks do not scan them all. */
   mt_engine_t **active;
   size_t active_count, active_cap;
 } mt_engines_t;
@@ -137,7 +138,8 @@
 
 /*
 ** Starts or extends a backoff that it asked for, up to a limit and with
-** jitter; of several the latest end counts. True if none was in effect.
+** jitter. Of several backoffs the one that ends last counts. True if none was
+** in effect.
 */
 bool mt_engine_set_backoff (mt_engine_t *engine, mt_ms_t backoff,
                             mt_ms_t now);
@@ -163,16 +165,16 @@
 void mt_engine_request_rejected (mt_engine_t *engine, mt_ms_t now);
 
 /*
-** Share of this router's recent attempts that it rejected, 0 to 1. Decays
+** Fraction of this router's recent attempts that it rejected. Decays
 ** without attempts, so that the engine is tried again.
 */
 double mt_engine_rejection_rate (const mt_engine_t *engine, mt_ms_t now);
 
-/* Resets what is believed of it after a restart, except for a backoff and for
-   a drain of its new incarnation. */
+/* Resets what is known of its previous incarnation after a restart. A backoff
+   stays, and so does a drain of its new incarnation. */
 void mt_engine_restarted (mt_engine_t *engine);
 
-/* Records whether a connection to it came up; if not, a probe follows. */
+/* Records whether a connection to it was made; if not, a probe follows. */
 void mt_engine_set_reachable (mt_engine_t *engine, bool up, mt_ms_t now);
 
 #endif
--- a/src/relay/fair_share.c
+++ b/src/relay/fair_share.c
@@ -45,7 +45,7 @@
 
 void mt_fair_share_record_demand (mt_fair_share_t *s, mt_id_t workspace,
                                   int64_t tokens) {
-  mt_fair_share_get(s, workspace)->local.asked += as_rate(tokens);
+  mt_fair_share_get(s, workspace)->local.demand += as_rate(tokens);
 }
 
 void mt_fair_share_record_served (mt_fair_share_t *s, mt_id_t workspace,
@@ -57,45 +57,46 @@
   double factor = exp(-(double)(now - s->decayed_at) / DECAY_MS);
   s->decayed_at = now;
   for (size_t i = 0; i < s->count; i++) {
-    s->list[i]->local.asked *= factor;
+    s->list[i]->local.demand *= factor;
     s->list[i]->local.served *= factor;
   }
 }
 
-static double asked (const mt_share_t *w) {
-  return w->local.asked + w->peers.asked;
+static double demand (const mt_share_t *w) {
+  return w->local.demand + w->peers.demand;
 }
 
 static double served (const mt_share_t *w) {
   return w->local.served + w->peers.served;
 }
 
-static void forget_idle (mt_fair_share_t *s) {
+static void remove_idle (mt_fair_share_t *s) {
   for (size_t i = s->count; i-- > 0;) {
     mt_share_t *w = s->list[i];
-    if (asked(w) > IDLE_RATE || served(w) > IDLE_RATE) continue;
+    if (demand(w) > IDLE_RATE || served(w) > IDLE_RATE) continue;
     s->list[i] = s->list[--s->count];
     mtV_del(&s->by_id, w->workspace);
     free(w);
   }
 }
 
-static int by_asked (const void *a, const void *b) {
-  double x = asked(*(mt_share_t *const *)a);
-  double y = asked(*(mt_share_t *const *)b);
+static int by_demand (const void *a, const void *b) {
+  double x = demand(*(mt_share_t *const *)a);
+  double y = demand(*(mt_share_t *const *)b);
   return (x > y) - (x < y);
 }
 
 /* Progressive filling from the smallest demand: a workspace that asks for
    less than an even part of the remaining capacity is served in full. */
 static double water_level (mt_fair_share_t *s, double capacity) {
-  qsort(s->list, s->count, sizeof *s->list, by_asked);
+  qsort(s->list, s->count, sizeof *s->list, by_demand);
   size_t left = 0;
-  for (size_t i = 0; i < s->count; i++) left += asked(s->list[i]) > IDLE_RATE;
+  for (size_t i = 0; i < s->count; i++)
+    left += demand(s->list[i]) > IDLE_RATE;
   for (size_t i = s->count - left; i < s->count; i++, left--) {
     double even = capacity / (double)left;
-    if (asked(s->list[i]) > even) return even;
-    capacity -= asked(s->list[i]);
+    if (demand(s->list[i]) > even) return even;
+    capacity -= demand(s->list[i]);
   }
   return 0;
 }
@@ -106,14 +107,14 @@
   s->max_service_ratio = 1;
   if (s->level <= 0) return;
   for (size_t i = 0; i < s->count; i++) {
-    if (asked(s->list[i]) <= s->level) continue;
+    if (demand(s->list[i]) <= s->level) continue;
     double service_ratio = served(s->list[i]) / s->level;
     s->max_service_ratio = fmax(s->max_service_ratio, service_ratio);
   }
 }
 
 static bool is_backlogged (const mt_fair_share_t *s, const mt_share_t *w) {
-  return asked(w) > s->level && served(w) < BACKLOG_RATIO * asked(w) &&
+  return demand(w) > s->level && served(w) < BACKLOG_RATIO * demand(w) &&
          served(w) > REACHABLE_RATIO * s->level;
 }
 
@@ -130,15 +131,15 @@
 }
 
 void mt_fair_share_update (mt_fair_share_t *s, double declared, mt_ms_t now) {
-  double all_asked = 0, all_served = 0;
+  double total_demand = 0, total_served = 0;
   decay(s, now);
-  forget_idle(s);
+  remove_idle(s);
   for (size_t i = 0; i < s->count; i++) {
-    all_asked += asked(s->list[i]);
-    all_served += served(s->list[i]);
+    total_demand += demand(s->list[i]);
+    total_served += served(s->list[i]);
   }
-  bool scarce = all_served < SCARCITY_RATIO * all_asked;
-  s->level = scarce ? water_level(s, fmax(all_served, declared)) : 0;
+  bool scarce = total_served < SCARCITY_RATIO * total_demand;
+  s->level = scarce ? water_level(s, fmax(total_served, declared)) : 0;
   find_max_service_ratio(s);
   find_min_service_ratio(s, declared);
 }
--- a/src/relay/fair_share.h
+++ b/src/relay/fair_share.h
@@ -12,12 +12,12 @@
 
 #include "mtmem.h"
 
-/* Workspaces in the table before other routers can add no more. */
+/* At this number of workspaces other routers can add no more. */
 #define MT_FAIR_SHARE_WORKSPACES_MAX 8192
 
 /* Rates of one workspace, tokens/s. */
 typedef struct mt_share_rates_t {
-  double asked, served;
+  double demand, served;
 } mt_share_rates_t;
 
 typedef struct mt_share_t {
@@ -31,12 +31,13 @@
   size_t count, cap;
   mt_ms_t decayed_at; /* when the rates were last decayed */
   double level;       /* tokens/s; 0: all demand is served */
-  /* Highest service ratio of a backlogged workspace, at least 1. */
+  /* Highest service ratio of the workspaces that ask for more than the level,
+     at least 1. */
   double max_service_ratio;
-  /* Lowest one of a backlogged workspace whose engines can serve it. 0 if
-     there is none, and if the capacity is not configured: the level then
-     follows the served rates, so that limits based on it would fall with each
-     refusal. */
+  /* Lowest service ratio of the backlogged workspaces whose engines can serve
+     them. 0 if there are none, and if the capacity is not configured: the
+     level then follows the served rates, so limits based on it would fall
+     with each refusal. */
   double min_service_ratio;
 } mt_fair_share_t;
 
@@ -44,9 +45,9 @@
 /* The workspace's entry, added if it is new. */
 mt_share_t *mt_fair_share_get (mt_fair_share_t *shares, mt_id_t workspace);
 
-/* The same for a workspace that another router names, which may be forged:
-   NULL if it is new and the table has MT_FAIR_SHARE_WORKSPACES_MAX entries.
- */
+/* The same for a workspace that a message of another router names. Such a
+   message may be forged, so the result is NULL if the workspace is new and
+   the table has MT_FAIR_SHARE_WORKSPACES_MAX entries. */
 mt_share_t *mt_fair_share_of_peer (mt_fair_share_t *shares,
                                    mt_id_t workspace);
 
@@ -58,8 +59,8 @@
 
 /*
 ** Decays the rates, drops idle workspaces and recomputes the level.
-** `declared`: the configured capacity of all engines together, tokens/s, so
-** that a lower served rate is not taken for their capacity. 0: unknown.
+** `declared`: the configured capacity of all engines together, tokens/s; 0:
+** unknown. With it a lower served rate is not taken for their capacity.
 */
 void mt_fair_share_update (mt_fair_share_t *shares, double declared,
                            mt_ms_t now);
--- a/src/relay/kv_cache.c
+++ b/src/relay/kv_cache.c
@@ -5,7 +5,7 @@
 #include "quotes.h"
 
 #define TRANSFER_SETUP_MS 2.0 /* fixed cost of a transfer */
-/* The prefill of fewer tokens is faster than the setup of a transfer. */
+/* Fewer tokens are prefilled faster than a transfer is set up. */
 #define TRANSFER_MIN_TOKENS 128
 #define BITS_PER_BYTE 8
 #define BITS_PER_MS_PER_MBPS 1000.0
@@ -25,8 +25,8 @@
 
 bool mt_kv_cache_should_report (const mt_relay_request_t *r) {
   if (r->segments_count < 2 || r->home) return false;
-  int64_t own = r->segments[r->segments_count - 1].tokens;
-  return r->pending_prefill >= own + TRANSFER_MIN_TOKENS;
+  int64_t unshared = r->segments[r->segments_count - 1].tokens;
+  return r->pending_prefill >= unshared + TRANSFER_MIN_TOKENS;
 }
 
 int64_t mt_kv_cache_available (const mt_engine_t *e, int64_t kv_capacity) {
@@ -42,7 +42,8 @@
                                mt_kv_cache_available(e, kv_capacity));
 }
 
-/* A failing engine may never answer, and the request would wait for it. */
+/* A failing engine may never answer, and the request would wait for the
+   transfer. */
 static bool can_be_source (const mt_relay_t *relay,
                            const mt_relay_request_t *r,
                            const mt_engine_t *e) {
--- a/src/relay/kv_cache.h
+++ b/src/relay/kv_cache.h
@@ -18,7 +18,8 @@
 } mt_kv_fetch_t;
 
 /* The segment that selects the home engine: the last one that other prompts
-   may share, or the only one; 0: there is none. */
+   may share, since with it the longest shared prefix is cached; or the only
+   one. 0: there is none. */
 uint64_t mt_kv_cache_home_segment (const mt_prefix_segment_t *segments,
                                    size_t count);
 
@@ -26,27 +27,29 @@
 int64_t mt_kv_cache_shared_tokens (const mt_relay_request_t *request);
 
 /*
-** True if the request makes an engine other than the home prefill shared
-** segments, which the owner of the home should know.
+** True if the request makes an engine other than the home engine prefill
+** shared segments, which the owner of the home engine should know.
 */
 bool mt_kv_cache_should_report (const mt_relay_request_t *request);
 
-/* Tokens of cache left besides running requests; at least an eighth of it. */
+/* Tokens of KV cache that running requests leave free; at least an eighth of
+   its capacity. */
 int64_t mt_kv_cache_available (const mt_engine_t *engine,
                                int64_t kv_capacity);
 
 /*
-** Leading tokens of the prompt that the engine has cached: as its owner
-** reported for this request, else by this router's own estimate.
+** Leading tokens of the prompt that the engine has cached, as its owner
+** quoted for this request, or else by this router's own estimate.
 */
 int64_t mt_kv_cache_cached_tokens (const mt_relay_request_t *request,
                                    const mt_engine_t *engine,
                                    int64_t kv_capacity);
 
 /*
-** The engine to fetch from: the one with most of the prompt cached that is
-** available and has not just failed. Sets `tokens` to its cached tokens. NULL
-** if no engine has any, or the service does not support transfers.
+** The engine to fetch from: of those that are available and have not just
+** failed, the one with most of the prompt cached. Sets `tokens` to the number
+** of its cached tokens. NULL if no engine has any, or the service does not
+** support transfers.
 */
 mt_engine_t *mt_kv_cache_find_source (mt_relay_t *relay,
                                       const mt_relay_request_t *request,
--- a/src/relay/lease_table.h
+++ b/src/relay/lease_table.h
@@ -16,7 +16,7 @@
 void mt_lease_table_free (mt_lease_table_t *table);
 
 /* Grants or renews the lease for `ms`. False if another holder has it, or if
-   too many leases are granted. */
+   the table is full. */
 bool mt_lease_table_take (mt_lease_table_t *table, uint64_t name,
                           uint64_t holder, mt_ms_t ms, mt_ms_t now);
 
--- a/src/relay/load_table.h
+++ b/src/relay/load_table.h
@@ -25,11 +25,11 @@
 
 /*
 ** Replaces a router's load at an engine. Returns the tokens processed there
-** since its previous report; 0 for the first. New rows beyond a limit, of an
-** engine or of all, are ignored.
+** since its previous report; 0 for the first. New rows are ignored beyond a
+** number of rows of the engine, and beyond a number of engines.
 */
 int64_t mt_load_table_set (mt_load_table_t *table, uint64_t engine,
-                           const mt_load_row_t *row);
+                           const mt_load_row_t *report);
 
 /* Sums the load at an engine over all routers except one. */
 mt_engine_load_t mt_load_table_sum (const mt_load_table_t *table,
--- a/src/relay/prefill_time.c
+++ b/src/relay/prefill_time.c
@@ -33,12 +33,12 @@
                                         double declared) {
   mt_prefill_time_t t = *samples;
   mt_prefill_model_t model = {0, 0};
-  double least = 1 / (declared * SPEEDUP_MAX);
+  double min = 1 / (declared * SPEEDUP_MAX);
   add_prior(&t, declared);
   /* Never 0, since the two requests of the prior differ in their tokens. */
   double spread = t.count * t.tokens_tokens - t.tokens * t.tokens;
   model.ms_per_token = (t.count * t.tokens_ms - t.tokens * t.ms) / spread;
-  if (model.ms_per_token < least) model.ms_per_token = least;
+  if (model.ms_per_token < min) model.ms_per_token = min;
   model.fixed_ms = (t.ms - model.ms_per_token * t.tokens) / t.count;
   if (model.fixed_ms >= 0) return model;
   model.fixed_ms = 0;
--- a/src/relay/prefill_time.h
+++ b/src/relay/prefill_time.h
@@ -25,13 +25,14 @@
                           double ms);
 
 /*
-** Fits the model to the measurements. `declared`: the configured rate, tokens
-** per ms, which is the prior while there are few of them.
+** Fits the model to the measurements. `declared`: the configured prefill
+** rate, tokens per ms, which serves as the prior while there are few
+** measurements.
 */
 mt_prefill_model_t mt_prefill_time_fit (const mt_prefill_time_t *samples,
                                         double declared);
 
-/* The same without a fixed part, for use when that mechanism is off. */
+/* The same without a fixed part, for use when MT_RELAY_FIXED_PART is off. */
 mt_prefill_model_t
 mt_prefill_time_fit_ratio (const mt_prefill_time_t *samples, double declared);
 
--- a/src/relay/prefix_cache.h
+++ b/src/relay/prefix_cache.h
@@ -18,7 +18,7 @@
 } mt_prefix_segment_t;
 
 typedef struct mt_prefix_cache_t {
-  mt_map_t entries;                          /* segment -> entry, owned */
+  mt_map_t entries;                          /* segment id -> entry, owned */
   struct mt_prefix_entry_t *newest, *oldest; /* by last use */
   int64_t clock; /* tokens processed there since the engine was added */
 } mt_prefix_cache_t;
@@ -26,14 +26,15 @@
 void mt_prefix_cache_free (mt_prefix_cache_t *cache);
 
 /*
-** Tokens of the leading segments that are still cached by an engine with room
-** for `capacity` tokens besides its running requests.
+** Tokens of the leading segments that are still cached by an engine whose
+** running requests leave room for `capacity` tokens.
 */
 int64_t mt_prefix_cache_match (const mt_prefix_cache_t *cache,
                                const mt_prefix_segment_t *segments,
                                size_t count, int64_t capacity);
 
-/* Marks the segments as used now, and drops those taken to be evicted. */
+/* Marks the segments as used now, and drops all that are taken to be
+   evicted. */
 void mt_prefix_cache_use (mt_prefix_cache_t *cache,
                           const mt_prefix_segment_t *segments, size_t count,
                           int64_t capacity);
--- a/src/relay/prefix_holders.c
+++ b/src/relay/prefix_holders.c
@@ -1,11 +1,11 @@
 /*
-** prefix_holders.c - engines outside the home that cache a shared prefix
+** prefix_holders.c - engines other than the home that cache a shared prefix
 */
 #include <stdlib.h>
 
 #include "prefix_holders.h"
 
-/* Engines evict a segment about as long after its last use. */
+/* Engines evict a segment about this long after its last use. */
 #define HOLDER_TTL_MS 30000
 #define SWEEP_INTERVAL_MS 1000 /* between searches for expired entries */
 #define SEGMENTS_MAX 65536
--- a/src/relay/prefix_holders.h
+++ b/src/relay/prefix_holders.h
@@ -1,9 +1,9 @@
 /*
-** prefix_holders.h - engines outside the home that cache a shared prefix
+** prefix_holders.h - engines other than the home that cache a shared prefix
 **
 ** A shared prefix segment is assigned to a home engine by a hash. When the
 ** home is overloaded the segment is prefilled at another engine, which other
-** routers cannot know. So the router that placed the request reports the
+** routers cannot know. So the router that placed the request reports that
 ** engine to the owner of the home, which is queried for every request with
 ** that segment. An entry may be missing or wrong; the segment is then
 ** prefilled again.
@@ -32,7 +32,7 @@
 void mt_prefix_holders_remove_engine (mt_prefix_holders_t *holders,
                                       uint64_t engine);
 
-/* Removes old entries; called several times a second. */
+/* Removes old entries; call it several times a second. */
 void mt_prefix_holders_expire (mt_prefix_holders_t *holders, mt_ms_t now);
 
 #endif
--- a/src/relay/quarantine.c
+++ b/src/relay/quarantine.c
@@ -6,13 +6,13 @@
 #include "placement.h"
 #include "quarantine.h"
 
-#define VERDICT_TIMEOUT_MS 40 /* for the owner's reply */
-#define LEASE_SLACK_MS 1000   /* of a lease beyond the request's expiry */
+#define VERDICT_TIMEOUT_MS 40 /* for an owner's reply */
+#define LEASE_SLACK_MS 1000   /* lease time beyond the request's deadline */
 #define LEASE_MAX_MS 30000
-/* The list entry of an engine that has ended expires in less. */
+/* The list entry of an engine that has ended expires in less time. */
 #define LOST_RUN_TTL_MS 5000
-/* From the first to the second report; to the third it is three times that.
- */
+/* Between the first report and the second; the third follows after three
+   times as long. */
 #define REPORT_INTERVAL_MS 200
 #define REPORTS_PER_RUN 3
 #define LOST_RUNS_MAX 1024 /* runs that are remembered */
@@ -71,7 +71,7 @@
   msg->request = r->number;
   msg->lease = mt_min(lease, (mt_ms_t)LEASE_MAX_MS);
   r->asked = relay->now;
-  return MT_QUARANTINE_ASK;
+  return MT_QUARANTINE_WAIT;
 }
 
 mt_quarantine_decision_t mt_quarantine_check (mt_relay_t *relay,
@@ -220,7 +220,7 @@
    truncated by the end of the engine: it clears nothing. */
 void mt_quarantine_run_answered (mt_relay_t *relay, mt_relay_request_t *r) {
   if (!r->framed || r->digest == 0) return;
-  mt_suspects_note_answer(&relay->suspects, r->digest, relay->now);
+  mt_suspects_record_answer(&relay->suspects, r->digest, relay->now);
   if (mt_suspects_get(&relay->suspects, r->digest) == NULL) return;
   add_message(relay, MT_SUSPECT_MESSAGE_ANSWERED, r->digest);
 }
--- a/src/relay/quarantine.h
+++ b/src/relay/quarantine.h
@@ -19,8 +19,8 @@
 
 typedef enum mt_quarantine_decision_t {
   MT_QUARANTINE_PASS,  /* it may run */
-  MT_QUARANTINE_ASK,   /* it waits for the reply of an owner */
-  MT_QUARANTINE_BUSY,  /* no engine, or no lease, is free for it */
+  MT_QUARANTINE_WAIT,  /* it has to wait for the reply of an owner */
+  MT_QUARANTINE_BUSY,  /* no engine or no lease is available for it */
   MT_QUARANTINE_REFUSE /* it is in quarantine */
 } mt_quarantine_decision_t;
 
@@ -29,7 +29,8 @@
                                               mt_relay_request_t *request);
 
 /* Handles an owner's reply to `msg`. The owner of the request is asked for a
-   lease first, then the owner of the engine that runs the fewest requests. */
+   lease first, then the owner of the engine that runs the fewest requests,
+   since those would be lost if the trial crashes it. */
 mt_quarantine_decision_t
 mt_quarantine_on_verdict (mt_relay_t *relay, mt_relay_request_t *request,
                           const mt_suspect_message_t *msg,
@@ -51,12 +52,13 @@
 void mt_quarantine_run_answered (mt_relay_t *relay,
                                  mt_relay_request_t *request);
 
-/* Releases the leases of a request that is over. */
+/* Releases the leases of a request that has ended. */
 void mt_quarantine_release_leases (mt_relay_t *relay,
                                    mt_relay_request_t *request);
 
-/* The engine has ended: runs lost there recently count as ends. May be called
-   between steps; the next step reports to the owners. */
+/* The engine has ended: each run lost there recently counts as an end under
+   its request. May be called between steps; the next step reports to the
+   owners. */
 void mt_quarantine_engine_ended (mt_relay_t *relay, uint64_t engine);
 
 /* Sends the owners the reports that are due. */
--- a/src/relay/relay.c
+++ b/src/relay/relay.c
@@ -196,7 +196,7 @@
 static void check_quarantine (mt_relay_t *relay, mt_relay_request_t *r) {
   switch (mt_quarantine_check(relay, r)) {
     case MT_QUARANTINE_PASS: find_engine(relay, r); break;
-    case MT_QUARANTINE_ASK: r->phase = MT_RELAY_AWAITING_TRIAL; break;
+    case MT_QUARANTINE_WAIT: r->phase = MT_RELAY_AWAITING_TRIAL; break;
     case MT_QUARANTINE_BUSY:
       mt_request_refuse(relay, r, MT_RELAY_NO_ENGINE);
       break;
@@ -259,7 +259,7 @@
       else
         find_engine(relay, r);
       break;
-    case MT_QUARANTINE_ASK: break;
+    case MT_QUARANTINE_WAIT: break;
     case MT_QUARANTINE_BUSY:
       mt_request_refuse(relay, r, MT_RELAY_ON_PROBATION);
       break;
--- a/src/relay/relay_load.c
+++ b/src/relay/relay_load.c
@@ -158,7 +158,7 @@
 static void probe_engines (mt_relay_t *relay) {
   for (size_t i = 0; i < relay->engines.active_count; i++) {
     mt_engine_t *e = relay->engines.active[i];
-    if (!e->unreachable || e->probing || e->probe > relay->now) continue;
+    if (!e->unreachable || e->probing || e->next_probe > relay->now) continue;
     if (!mt_engine_is_available(e, relay->now)) continue;
     e->probing = true;
     mt_relay_effect(relay, MT_RELAY_DO_PROBE)->u.probe = e->key;
@@ -171,7 +171,8 @@
 static void end_unprobed_waits (mt_relay_t *relay) {
   for (size_t i = 0; i < relay->engines.active_count; i++) {
     mt_engine_t *e = relay->engines.active[i];
-    if (e->probe + UNPROBED_WAIT_MS <= relay->now) e->unreachable = false;
+    if (e->next_probe + UNPROBED_WAIT_MS <= relay->now)
+      e->unreachable = false;
   }
 }
 
--- a/src/relay/response.c
+++ b/src/relay/response.c
@@ -45,8 +45,8 @@
     mt_engine_request_accepted(e, r->sent, relay->now);
     return;
   }
-  if (e->backoff <= relay->now) /* else the 5xx only asked for backoff */
-    mt_engine_failed(e, relay->now);
+  /* A 5xx that only asks for a backoff is not counted as a failure. */
+  if (e->backoff_until <= relay->now) mt_engine_failed(e, relay->now);
   if (!mt_attempt_may_retry(relay, r, true)) return;
   mt_attempt_failed(relay, r, MT_RELAY_RETRY_ERROR, true);
 }
@@ -146,6 +146,6 @@
     return;
   }
   mt_engine_set_reachable(r->engine, false, relay->now);
-  r->engine->probe = relay->now;
+  r->engine->next_probe = relay->now;
   mt_attempt_failed(relay, r, MT_RELAY_RETRY_CONNECT, false);
 }
--- a/src/relay/suspects.c
+++ b/src/relay/suspects.c
@@ -9,9 +9,10 @@
 #define PROBATION_ENDS 2
 #define QUARANTINE_ENDS 3
 #define QUARANTINE_ALONE 2 /* of these, by a copy that ran alone */
-/* Reports of one end: all routers lose an engine at about the same time, and
-   it takes longer to return. A copy that ran alone was lost by one router,
-   whose repeated reports agree more closely. */
+/* Reports of an engine's end that differ by less are of the same end: all
+   routers lose an engine at about the same time, and it takes longer to
+   restart. A copy that ran alone was lost by one router, whose repeated
+   reports agree more closely. */
 #define SAME_END_MS 1000
 #define SAME_ALONE_MS 100
 #define QUARANTINE_MS 600000 /* the first; each further one twice as long */
@@ -48,7 +49,7 @@
   return mtV_get(&t->by_digest, digest);
 }
 
-static void forget (mt_suspects_t *t, mt_suspect_t *s) {
+static void remove_suspect (mt_suspects_t *t, mt_suspect_t *s) {
   mtV_del(&t->by_digest, s->digest);
   free(s);
 }
@@ -62,18 +63,19 @@
   return count_ends(s) < PROBATION_ENDS;
 }
 
-/* Makes room for one entry: of some slots evicts the entry that would expire
-   first. Entries that are gossiped stay. False if there is none. */
+/* Makes room for one entry: evicts the entry that would expire first among
+   those of EVICTION_SAMPLE slots. Entries that are gossiped are not evicted.
+   False if there is no room and none can be evicted. */
 static bool make_room (mt_suspects_t *t) {
   mt_suspect_t *first = NULL;
   if (t->by_digest.used < SUSPECTS_MAX) return true;
   for (size_t i = 0; i < EVICTION_SAMPLE; i++) {
-    size_t at = t->cursor++ % t->by_digest.cap;
-    mt_suspect_t *s = t->by_digest.vals[at];
-    if (t->by_digest.keys[at] == 0 || !is_below_threshold(s)) continue;
+    size_t slot = t->cursor++ % t->by_digest.cap;
+    mt_suspect_t *s = t->by_digest.vals[slot];
+    if (t->by_digest.keys[slot] == 0 || !is_below_threshold(s)) continue;
     if (first == NULL || s->expires < first->expires) first = s;
   }
-  if (first != NULL) forget(t, first);
+  if (first != NULL) remove_suspect(t, first);
   return first != NULL;
 }
 
@@ -101,8 +103,8 @@
   for (int i = 0; i < s->listed; i++) {
     const mt_suspect_end_t *known = &s->list[i];
     mt_ms_t apart = mt_max(known->at, end->at) - mt_min(known->at, end->at);
-    bool one = !end->alone || apart < SAME_ALONE_MS;
-    if (one && is_same_end(known, end)) return true;
+    bool in_time = !end->alone || apart < SAME_ALONE_MS;
+    if (in_time && is_same_end(known, end)) return true;
   }
   return false;
 }
@@ -178,7 +180,7 @@
   mt_lease_table_expire(&t->leases, now);
   for (size_t i = t->by_digest.cap; i-- > 0;) {
     mt_suspect_t *s = t->by_digest.vals[i];
-    if (t->by_digest.keys[i] != 0 && now >= s->expires) forget(t, s);
+    if (t->by_digest.keys[i] != 0 && now >= s->expires) remove_suspect(t, s);
   }
 }
 
@@ -191,7 +193,8 @@
   return is_below_threshold(s) ? NOTED_TTL_MS : SUSPECT_TTL_MS;
 }
 
-/* Appends an end; the oldest of a full list is only counted from then on. */
+/* Appends an end. If the list is full, its oldest end is removed and from
+   then on only counted. */
 static void append_end (mt_suspect_t *s, const mt_suspect_end_t *end) {
   if (s->listed == MT_SUSPECT_ENDS_MAX) {
     s->earlier++;
@@ -306,12 +309,12 @@
 }
 
 size_t mt_suspects_list (const mt_suspects_t *t, size_t *position,
-                         mt_suspect_row_t *rows, size_t most, mt_ms_t now) {
+                         mt_suspect_row_t *rows, size_t max, mt_ms_t now) {
   size_t count = 0, cap = t->by_digest.cap;
-  for (size_t i = 0; i < cap && count < most; i++) {
-    size_t at = (*position)++ % cap;
-    const mt_suspect_t *s = t->by_digest.vals[at];
-    if (t->by_digest.keys[at] == 0 || !is_gossiped(s)) continue;
+  for (size_t i = 0; i < cap && count < max; i++) {
+    size_t slot = (*position)++ % cap;
+    const mt_suspect_t *s = t->by_digest.vals[slot];
+    if (t->by_digest.keys[slot] == 0 || !is_gossiped(s)) continue;
     rows[count++] = mt_suspects_row(s, now);
   }
   return count;
@@ -321,8 +324,8 @@
 
 /* {== Answers at this router ============================================ */
 
-void mt_suspects_note_answer (mt_suspects_t *t, uint64_t digest,
-                              mt_ms_t now) {
+void mt_suspects_record_answer (mt_suspects_t *t, uint64_t digest,
+                                mt_ms_t now) {
   uintptr_t slot = (uintptr_t)mtV_get(&t->answer_slots, digest);
   if (slot != 0) {
     t->answers[slot - 1].at = now;
--- a/src/relay/suspects.h
+++ b/src/relay/suspects.h
@@ -12,11 +12,11 @@
 ** failure domain loses power, put a request on probation at most, and one
 ** answer clears it.
 **
-** A request may be a bystander of an end that another one caused. An end of a
-** copy that ran alone therefore counts as such only if no other suspect was
-** at that engine; otherwise a harmless request is refused when two new
-** crashing ones join its trials. The end counts again once the other is
-** cleared: the state is always derived from the list of ends.
+** Another request at the engine may have caused an end. An end of a copy that
+** ran alone therefore counts as such only if no other suspect was at that
+** engine; otherwise a harmless request is refused when two new crashing ones
+** join its trials. The end counts again once the other suspect is cleared:
+** the state is always derived from the list of ends.
 **
 ** Each request is owned by one router, which counts its ends and grants its
 ** trials. Rows of requests on probation and in quarantine are gossiped, so
@@ -32,7 +32,7 @@
 
 typedef enum mt_suspicion_t {
   MT_SUSPICION_NONE,       /* unknown, or cleared */
-  MT_SUSPICION_NOTED,      /* one engine ended; no restriction yet */
+  MT_SUSPICION_NOTED,      /* an engine ended; no restriction yet */
   MT_SUSPICION_PROBATION,  /* runs one copy at a time */
   MT_SUSPICION_QUARANTINE, /* is refused */
   MT_SUSPICION_COUNT
@@ -50,11 +50,11 @@
   mt_suspect_end_t list[MT_SUSPECT_ENDS_MAX]; /* the last ends */
   int listed;
   int earlier, earlier_alone; /* counts of ends that are no longer listed */
-  mt_ms_t since;   /* time of the first end, or without any of the clearing */
+  mt_ms_t since;   /* time of the first end, else of the clearing */
   mt_ms_t expires; /* when the entry is dropped */
 } mt_suspect_t;
 
-/* The same as it is gossiped: with durations in place of times. */
+/* A suspect as it is gossiped: with durations in place of times. */
 typedef struct mt_suspect_row_t {
   uint64_t digest, version;
   mt_suspect_end_t list[MT_SUSPECT_ENDS_MAX]; /* `at`: age */
@@ -67,7 +67,7 @@
   MT_TRIAL_FREE,    /* no lease is needed: any number of copies may run */
   MT_TRIAL_GRANTED, /* granted: no other may run until it is released */
   MT_TRIAL_BUSY,    /* another holder has the lease */
-  MT_TRIAL_REFUSED, /* it is in quarantine */
+  MT_TRIAL_REFUSED, /* the request is in quarantine */
   MT_TRIAL_COUNT
 } mt_trial_verdict_t;
 
@@ -77,7 +77,7 @@
   MT_SUSPECT_MESSAGE_ANSWERED, /* the request was answered completely */
   MT_SUSPECT_MESSAGE_LEASE,    /* asks for the lease to run the request */
   MT_SUSPECT_MESSAGE_RELEASE,  /* releases that lease */
-  MT_SUSPECT_MESSAGE_LEASE_ENGINE,   /* the same, to run it at the engine */
+  MT_SUSPECT_MESSAGE_LEASE_ENGINE,   /* asks for the lease of the engine */
   MT_SUSPECT_MESSAGE_RELEASE_ENGINE, /* releases that lease */
   MT_SUSPECT_MESSAGE_COUNT
 } mt_suspect_message_kind_t;
@@ -116,8 +116,8 @@
 /* State of a request at some time. */
 typedef struct mt_suspect_status_t {
   mt_suspicion_t state;
-  int ends, alone; /* ends; those that count as of a copy that ran alone */
-  mt_ms_t left;    /* time left of the quarantine */
+  int ends, alone; /* all ends; those that count as of a copy alone */
+  mt_ms_t left;    /* remaining time of the quarantine; else 0 */
 } mt_suspect_status_t;
 
 mt_suspect_status_t mt_suspects_status (const mt_suspects_t *suspects,
@@ -127,12 +127,13 @@
 
 /* {== At the owner ===================================================== */
 
-/* Counts an end once, however often it is reported; true if the suspect's row
-   is to be sent to other routers. */
+/* Counts an end once, however often it is reported. True if the suspect's row
+   has changed and is to be sent to other routers. */
 bool mt_suspects_add_end (mt_suspects_t *suspects, uint64_t digest,
                           const mt_suspect_end_t *end, mt_ms_t now);
 
-/* Clears the ends up to a complete answer at `at`; true as above. */
+/* Clears the ends up to a complete answer at `at`. True if the suspect's row
+   is to be sent to other routers. */
 bool mt_suspects_clear (mt_suspects_t *suspects, uint64_t digest, mt_ms_t at,
                         mt_ms_t now);
 
@@ -156,22 +157,22 @@
 
 mt_suspect_row_t mt_suspects_row (const mt_suspect_t *suspect, mt_ms_t now);
 
-/* Takes another router's row; false if it is not newer. */
+/* Merges another router's row; false if it is not newer. */
 bool mt_suspects_merge (mt_suspects_t *suspects, const mt_suspect_row_t *row,
                         mt_ms_t now);
 
-/* Gets up to `most` rows to be gossiped, from `position` in the table on;
-   advances the position and returns their number. */
+/* Gets up to `max` rows to be gossiped, from `position` in the table on;
+   advances the position and returns the number of rows. */
 size_t mt_suspects_list (const mt_suspects_t *suspects, size_t *position,
-                         mt_suspect_row_t *rows, size_t most, mt_ms_t now);
+                         mt_suspect_row_t *rows, size_t max, mt_ms_t now);
 
 /* }== */
 
 /* {== Answers at this router ============================================ */
 
 /* Records that the request was answered completely. */
-void mt_suspects_note_answer (mt_suspects_t *suspects, uint64_t digest,
-                              mt_ms_t now);
+void mt_suspects_record_answer (mt_suspects_t *suspects, uint64_t digest,
+                                mt_ms_t now);
 
 /* Time of its last complete answer at this router; 0: none is recorded. */
 mt_ms_t mt_suspects_last_answer (const mt_suspects_t *suspects,
@@ -183,7 +184,7 @@
 size_t mt_suspects_count (const mt_suspects_t *suspects, mt_suspicion_t state,
                           mt_ms_t now);
 
-/* Drops expired entries and leases; called several times a second. */
+/* Drops expired entries and leases; call it several times a second. */
 void mt_suspects_expire (mt_suspects_t *suspects, mt_ms_t now);
 
 /* A state's name in logs, metrics and the operators' list. */
--- a/tests/fair_share_test.cc
+++ b/tests/fair_share_test.cc
@@ -18,7 +18,7 @@
 
 // Rates of a workspace at the other routers, thousands of tokens/s.
 struct PeerRates {
-  double asked, served;
+  double demand, served;
 };
 
 // True if a request of the first workspace is admitted at an idle engine.
@@ -31,7 +31,7 @@
     std::string name = "w" + std::to_string(i + 1);
     mt_share_t *w =
         mt_fair_share_get(&r.relay->shares, mtV_id(name.data(), name.size()));
-    w->peers = {rates[i].asked * 1000, rates[i].served * 1000};
+    w->peers = {rates[i].demand * 1000, rates[i].served * 1000};
   }
   r.pass(200);
   r.ask(1, "/stream/x", "key-w1");
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -151,7 +151,7 @@
   size_t n = mt_peer_message_pack(in.get(), bytes, sizeof bytes);
   ASSERT_TRUE(mt_peer_message_unpack(out.get(), bytes, n));
   ASSERT_EQ(out->changes_count, (size_t)MT_CHANGE_KINDS);
-  EXPECT_EQ(out->shares[0].rates.asked, 1000000000); // the upper bound
+  EXPECT_EQ(out->shares[0].rates.demand, 1000000000); // the upper bound
   EXPECT_EQ(out->shares[0].rates.served, 0);
   for (size_t cut = 0; cut < n; cut++)
     EXPECT_FALSE(mt_peer_message_unpack(out.get(), bytes, cut));
@@ -755,7 +755,7 @@
     row.end(w);
     mt_share_t *share = mt_fair_share_get(&w.relay->shares, mtV_id("w1", 2));
     EXPECT_EQ(share->local.served > 1, row.served) << row.name;
-    EXPECT_GT(share->local.asked, 1) << row.name;
+    EXPECT_GT(share->local.demand, 1) << row.name;
   }
 }
 
--- a/tests/share_exchange_test.cc
+++ b/tests/share_exchange_test.cc
@@ -118,7 +118,7 @@
   // Rate asked for in the whole fleet, as known at one router.
   double seen (const Router &r, mt_id_t workspace) {
     mt_share_t *share = mt_fair_share_get(&((Router &)r).shares, workspace);
-    return share->local.asked + share->peers.asked;
+    return share->local.demand + share->peers.demand;
   }
 };
 
--- a/tests/suspects_test.cc
+++ b/tests/suspects_test.cc
@@ -187,7 +187,7 @@
   EXPECT_EQ(t.state(), MT_SUSPICION_QUARANTINE);
   EXPECT_EQ(t.state(99999), MT_SUSPICION_NOTED); // the newest
   for (uint64_t i = 1; i < 20000; i++)
-    mt_suspects_note_answer(&t.suspects, i, t.now + i);
+    mt_suspects_record_answer(&t.suspects, i, t.now + i);
   EXPECT_EQ(mt_suspects_last_answer(&t.suspects, 1), 0u);
   EXPECT_EQ(mt_suspects_last_answer(&t.suspects, 19999), t.now + 19999);
   EXPECT_LE(t.suspects.answer_slots.used, 4096u);
@@ -436,7 +436,7 @@
   Fleet f(6, 5);
   f.ended(0, 'a');
   f.pass(1000);
-  mt_suspects_note_answer(&f.routers[4]->suspects, kDigest, f.now);
+  mt_suspects_record_answer(&f.routers[4]->suspects, kDigest, f.now);
   f.pass(1000);
   f.ended(1, 'b');
   EXPECT_EQ(f.count_in(MT_SUSPICION_PROBATION), 0u);
