--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -56,7 +56,7 @@
 /* Sets whether each response closes its connection from now on. */
 void mt_http_server_drain (mt_http_server_t *server, bool drain);
 
-/* Closes the connections on which no request or part of one has arrived. */
+/* Closes the connections that have no request in progress or part of one. */
 void mt_http_server_close_idle (mt_http_server_t *server);
 
 /* Accepts no more connections; existing ones go on. */
