--- a/src/mtfront.c
+++ b/src/mtfront.c
@@ -147,7 +147,8 @@
   reply_error(r, why, mtA_rejection(why)->notrun, detail);
 }
 
-/* Frees a request; returns the caller's, or NULL if it has disconnected. */
+/* Frees a request; returns its caller's HTTP request, or NULL when the caller
+   has disconnected. */
 static mt_webreq_t *detach (request_t *c) {
   mt_webreq_t *r = c->r;
   free_request(c);
--- a/src/mtlimits.h
+++ b/src/mtlimits.h
@@ -46,7 +46,7 @@
 #define MT_SUSPECT_MS 1500      /* silence that makes a member suspect */
 #define MT_DEAD_MS 3000         /* silence that makes a member dead */
 #define MT_FORGET_MS 600000     /* time that a dead member is remembered */
-#define MT_PAUSE_MS 1200        /* gap between ticks that counts as a pause */
+#define MT_PAUSE_MS 1200        /* gap of ticks: the process was paused */
 #define MT_DEMAND_MS 1000       /* interval of full demand reports */
 #define MT_BATCH_MS 200         /* interval of reports that can wait */
 #define MT_EXCHANGE_MIN_MS 50   /* shortest interval of exchanges */
@@ -62,7 +62,7 @@
 #define MT_CLAIM_TIMEOUT_MS 2000   /* until a claim is no longer retried */
 #define MT_LONG_POLL_MS 10000      /* one watch request to the store */
 #define MT_POLL_MS 5000            /* for a non-watcher to check its role */
-#define MT_CONNECT_TIMEOUT_MS 2000 /* also silence of the store */
+#define MT_CONNECT_TIMEOUT_MS 2000 /* also for the store to reply */
 #define MT_TARGET_IDLE_MS 60000    /* silence of a target in an attempt */
 #define MT_CALLER_CHECK_MS 1000    /* interval of checks for lost callers */
 #define MT_RESUME_TOKEN_MS 600000  /* lifetime of a resume token */
--- a/src/mtmember.c
+++ b/src/mtmember.c
@@ -288,12 +288,14 @@
   return n;
 }
 
-/* Marks a silent member suspect or dead; `every`: its heartbeat interval. */
-static void check_liveness (mt_state_t *S, mt_member_t *m, mt_ms_t every) {
+/* Marks a silent member suspect or dead; `interval_ms` is that of its
+   heartbeats. */
+static void check_liveness (mt_state_t *S, mt_member_t *m,
+                            mt_ms_t interval_ms) {
   if (m->node.state >= MT_LEFT) return;
   if (m->last_received == 0) m->last_received = S->now;
   mt_ms_t silent = S->now - m->last_received;
-  mt_ms_t slack = 3 * (every - MT_HEARTBEAT_MS);
+  mt_ms_t slack = 3 * (interval_ms - MT_HEARTBEAT_MS);
   if (silent > MT_DEAD_MS + slack) {
     mark_dead(S, m);
   } else if (silent > MT_SUSPECT_MS + slack && !m->suspect) {
@@ -312,17 +314,17 @@
 }
 
 static void domain_heartbeats (mt_state_t *S) {
-  mt_ms_t every =
+  mt_ms_t interval_ms =
       mt_max(MT_HEARTBEAT_MS, domainsize(S) * HEARTBEAT_PER_MEMBER_MS);
   bool due = S->now >= S->members.next_heartbeat;
   mtV_each (&S->members.byid, i) {
     mt_member_t *m = S->members.byid.vals[i];
     if (m == S->members.self || m->domain != S->members.self->domain)
       continue;
-    check_liveness(S, m, every);
+    check_liveness(S, m, interval_ms);
     if (due && wants_heartbeat(S, m)) send_heartbeat(S, m);
   }
-  if (due) S->members.next_heartbeat = S->now + every;
+  if (due) S->members.next_heartbeat = S->now + interval_ms;
 }
 
 /* The member of another domain to send to: the border router of this rank, or
--- a/src/mtmsg.h
+++ b/src/mtmsg.h
@@ -108,7 +108,7 @@
 typedef struct mt_grant_t {
   mt_id_t domain, pool; /* of the issuing scheduler */
   mt_id_t todomain; /* the domain that may use it: for offers a remote one */
-  mt_id_t issuer;   /* router of the scheduler */
+  mt_id_t issuer;   /* router that issued it */
   mt_id_t target, ws;
   uint64_t id;
   uint64_t echo; /* ms: the router's clock in its last report, or 0 */
--- a/src/mtsched.c
+++ b/src/mtsched.c
@@ -11,7 +11,9 @@
 #define TAKEOVER_WAIT_MS 600   /* longest wait for routers' reports */
 #define FULL_EXCHANGE_MS 10000 /* interval of full exchanges */
 #define URGENT_GAP_MS 10       /* shortest gap before an urgent exchange */
-#define REMOTE_FIRST_EVERY 4   /* each 4th grant tries remote domains first */
+/* Every 4th grant of a workspace tries remote domains before the routers of
+   this domain, the others after them. */
+#define REMOTE_FIRST_EVERY 4
 
 /* {== Roles ============================================================ */
 
