--- a/tests/cold_start_test.cc
+++ b/tests/cold_start_test.cc
@@ -27,11 +27,11 @@
 // of the routers.
 struct Owners {
   std::vector<mt_cold_starts_t> all;
-  std::vector<double> segments;
+  std::vector<double> fractions;
   mt_ms_t now = 50000;
   std::vector<mt_ms_t> sent;
 
-  explicit Owners(std::vector<double> p) : all(p.size()), segments(p) {
+  explicit Owners(std::vector<double> p) : all(p.size()), fractions(p) {
     for (mt_cold_starts_t &s : all) s = mt_cold_starts_t{};
   }
   ~Owners() {
@@ -40,30 +40,30 @@
   void cold (mt_ms_t ms) {
     for (mt_cold_starts_t &s : all) mt_cold_starts_set(&s, 7, now + ms, now);
   }
-  mt_admission_t ask (size_t owner) {
+  mt_admission_t acquire (size_t owner) {
     return mt_cold_starts_acquire(&all[owner], 7, rate, &params,
-                                  segments[owner], now);
+                                  fractions[owner], now);
   }
   // Most requests that arrived within one second.
-  size_t most () {
-    size_t best = 0;
+  size_t max_per_second () {
+    size_t most_so_far = 0;
     std::sort(sent.begin(), sent.end());
     for (size_t first = 0, last = 0; last < sent.size(); last++) {
       while (sent[last] - sent[first] >= 1000) first++;
-      best = std::max(best, last - first + 1);
+      most_so_far = std::max(most_so_far, last - first + 1);
     }
-    return best;
+    return most_so_far;
   }
 };
 
-// For any owner that is asked, any time at which a permit is used, and any
-// loss of messages.
+// Holds whichever owner is asked, whenever a permit is used, and whichever
+// messages are lost.
 TEST(ColdStart, BoundHoldsInEverySecond) {
   struct Row {
     const char *what;
-    std::vector<double> segments;
+    std::vector<double> fractions;
     double uses;     // fraction of the permits that are used
-    double back;     // fraction of the others that are returned
+    double returned; // fraction of the others that are returned
     size_t at_least; // requests in 3 s
   } rows[] = {
       {"all are used", {1}, 1, 1, 36},
@@ -76,16 +76,16 @@
     for (unsigned seed = 1; seed <= 10; seed++) {
       std::mt19937 random(seed);
       auto chance = [&] (double p) { return (random() % 1000) < p * 1000; };
-      Owners w(row.segments);
+      Owners w(row.fractions);
       w.cold(3000);
       std::vector<std::pair<mt_ms_t, size_t>> returns;
       for (int ms = 0; ms < 3000; ms++, w.now++) {
         for (size_t k = 0; k < w.all.size(); k++) {
-          if (!chance(0.3) || w.ask(k) != MT_ADMIT_PERMIT) continue;
+          if (!chance(0.3) || w.acquire(k) != MT_ADMIT_PERMIT) continue;
           mt_ms_t later = w.now + random() % (MT_COLD_PERMIT_MS + 1);
           if (chance(row.uses))
             w.sent.push_back(later);
-          else if (chance(row.back))
+          else if (chance(row.returned))
             returns.push_back({later, k});
         }
         for (size_t i = returns.size(); i-- > 0;) {
@@ -94,22 +94,23 @@
           returns.erase(returns.begin() + (long)i);
         }
       }
-      EXPECT_LE((double)w.most(), allowed) << row.what << " seed " << seed;
+      EXPECT_LE((double)w.max_per_second(), allowed)
+          << row.what << " seed " << seed;
       EXPECT_GE(w.sent.size(), row.at_least) << row.what << " seed " << seed;
     }
   }
 }
 
-// Requests that came without a permit are taken from later permits.
+// Requests that came without a permit are deducted from later permits.
 TEST(ColdStart, RequestsWithoutPermitAreCharged) {
   Owners w({1});
   w.cold(3000);
-  ASSERT_EQ(w.ask(0), MT_ADMIT_PERMIT);
+  ASSERT_EQ(w.acquire(0), MT_ADMIT_PERMIT);
   for (int i = 0; i < 10; i++) mt_cold_starts_charge(&w.all[0], 7);
   w.now += 500;
-  EXPECT_EQ(w.ask(0), MT_ADMIT_NONE);
+  EXPECT_EQ(w.acquire(0), MT_ADMIT_NONE);
   w.now += 1000;
-  EXPECT_EQ(w.ask(0), MT_ADMIT_PERMIT);
+  EXPECT_EQ(w.acquire(0), MT_ADMIT_PERMIT);
 }
 
 TEST(ColdStart, OwnerReplies) {
@@ -117,7 +118,7 @@
     const char *what;
     mt_ms_t cold; // duration; 0: never known as cold
     mt_ms_t after;
-    double part;
+    double fraction; // of the bucket that the owner may grant
     mt_admission_t answer;
   } rows[] = {
       {"unknown", 0, 100, 1, MT_ADMIT_UNKNOWN},
@@ -127,11 +128,11 @@
       {"warm again, ownership disputed", 3000, 3001, 0, MT_ADMIT_WARM},
       {"long ago", 3000, 20000, 1, MT_ADMIT_UNKNOWN}};
   for (const Row &row : rows) {
-    Owners w({row.part});
+    Owners w({row.fraction});
     if (row.cold > 0) w.cold(row.cold);
     w.now += row.after;
     mt_cold_starts_expire(&w.all[0], w.now);
-    EXPECT_EQ(w.ask(0), row.answer) << row.what;
+    EXPECT_EQ(w.acquire(0), row.answer) << row.what;
   }
 }
 
@@ -238,7 +239,7 @@
     }
     EXPECT_EQ(to_cold > 0, row.cold_gets) << row.what;
     EXPECT_EQ(to_any > 0, row.any_gets) << row.what;
-    EXPECT_EQ(to_any + refused, 40) << row.what; // none waits for ever
+    EXPECT_EQ(to_any + refused, 40) << row.what; // none is left waiting
   }
 }
 
@@ -251,12 +252,12 @@
   uint64_t first = w.reply_all(1, MT_ADMIT_PERMIT);
   ASSERT_NE(first, 0u);
   // The other permits are returned at once.
-  std::vector<uint64_t> back;
+  std::vector<uint64_t> returned;
   for (size_t i = 0; i < w.effects.count; i++)
     if (w.effects.list[i].kind == MT_RELAY_DO_RETURN_PERMIT)
-      back.push_back(w.effects.list[i].u.permit);
+      returned.push_back(w.effects.list[i].u.permit);
   keys.erase(std::find(keys.begin(), keys.end(), first));
-  EXPECT_EQ(back, keys);
+  EXPECT_EQ(returned, keys);
   auto *r = (mt_relay_request_t *)mtV_get(&w.relay->requests, 1);
   w.relay->now = w.now;
   EXPECT_FALSE(mt_admission_allows(w.relay, r, r->engine));
@@ -267,8 +268,8 @@
   EXPECT_NE(w.refusal(), MT_RELAY_REFUSAL_COUNT);
 }
 
-// A permit may have expired before the last quote comes in. One that comes
-// after the request was placed is returned.
+// A permit may expire while the request waits for its last quote. A permit
+// that arrives after the request was placed is returned.
 TEST(ColdEngines, PermitExpires) {
   Fleet w;
   for (int i = 1; i <= 8; i++) w.cold(w.m(i));
@@ -390,14 +391,14 @@
   struct Row {
     const char *what;
     std::vector<const char *> evacuated_domains;
-    bool near, remote; // engines in these domains get requests
+    bool local, remote; // engines in these domains get requests
   } rows[] = {{"none", {}, true, true},
               {"the local domain", {"d1"}, false, true},
               {"the remote domain", {"d2"}, true, false},
               {"both", {"d1", "d2"}, false, false},
               {"a domain without engines", {"d9"}, true, true}};
   for (const Row &row : rows) {
-    int near = 0, remote = 0, refused = 0;
+    int local = 0, remote = 0, refused = 0;
     for (const char *path : {"/stream/x", "/again/x"})
       for (uint64_t number = 1; number <= 40; number++) {
         Fleet w;
@@ -410,12 +411,12 @@
           key = fx->u.start.engine;
         refused += w.refusal() == MT_RELAY_NO_ENGINE;
         if (key == 0) continue;
-        (mt_engines_get(&w.relay->engines, key)->remote ? remote : near)++;
+        (mt_engines_get(&w.relay->engines, key)->remote ? remote : local)++;
       }
-    EXPECT_EQ(near > 0, row.near) << row.what;
+    EXPECT_EQ(local > 0, row.local) << row.what;
     EXPECT_TRUE(remote == 0 || row.remote) << row.what;
-    EXPECT_EQ(near + remote + refused, 80) << row.what;
-    EXPECT_EQ(refused > 0, !row.near && !row.remote) << row.what;
+    EXPECT_EQ(local + remote + refused, 80) << row.what;
+    EXPECT_EQ(refused > 0, !row.local && !row.remote) << row.what;
   }
 }
 
--- a/tests/engine_drain_backoff_test.cc
+++ b/tests/engine_drain_backoff_test.cc
@@ -131,7 +131,8 @@
   EXPECT_FALSE(mt_engine_is_available(other.find("p1"), other.now));
 }
 
-// Neither the list nor a connection nor answers to earlier requests end it.
+// Neither the list nor a connection nor answers to earlier requests end a
+// drain.
 TEST(EngineDrainBackoff, OnlyARestartEndsADrain) {
   NoticeRelay r(1);
   mt_engine_t *e = r.find("p1");
@@ -149,7 +150,8 @@
   EXPECT_EQ(r.placed_at(3), "p1");
 }
 
-// An engine that gets no requests for another reason remains a source.
+// An engine that gets no requests for another reason, such as an evacuation,
+// remains a fetch source.
 TEST(EngineDrainBackoff, DrainingEngineIsNoFetchSource) {
   for (bool draining : {false, true}) {
     NoticeRelay r(2);
@@ -223,21 +225,21 @@
   };
   for (const Row &row : rows) {
     NoticeRelay r(1);
-    mt_ms_t begun = r.now;
+    mt_ms_t started = r.now;
     mt_engine_t *e = r.find("p1");
-    for (auto &asked_for : row.backoffs) {
-      r.now = begun + asked_for.first;
-      r.advertises("p1", false, asked_for.second);
+    for (auto &backoff : row.backoffs) {
+      r.now = started + backoff.first;
+      r.advertises("p1", false, backoff.second);
     }
-    r.now = begun + row.earliest - 1;
+    r.now = started + row.earliest - 1;
     EXPECT_FALSE(mt_engine_takes_work(e, r.now)) << row.what;
-    r.now = begun + row.latest;
+    r.now = started + row.latest;
     EXPECT_TRUE(mt_engine_takes_work(e, r.now)) << row.what;
   }
 }
 
 // Neither answers to earlier requests nor a new connection, a failure or the
-// switch that turns suspensions off end it.
+// switch that turns suspensions off end a backoff.
 TEST(EngineDrainBackoff, NothingEndsABackoffEarly) {
   NoticeRelay r(1);
   mt_engine_t *e = r.find("p1");
@@ -259,8 +261,8 @@
   EXPECT_EQ(r.refusal(), MT_RELAY_BACKOFF);
 }
 
-// After the backoff one request is sent as a trial; the others follow when it
-// was accepted, or not rejected within 100 ms.
+// After the backoff one request is sent as a trial; the others follow once
+// the engine has accepted it, or has not rejected it within 100 ms.
 TEST(EngineDrainBackoff, OneTrialRequestAfterBackoff) {
   enum class Outcome { Accepted, Failed, Rejected, Pending };
   struct Row {
@@ -296,26 +298,28 @@
   }
 }
 
-// While all engines are under backoff, callers are told to retry after the
-// first backoff ends, spread over time.
+// While all engines are under backoff, the Retry-After of refused callers is
+// past the end of the first backoff, and spread so that they do not all retry
+// at once.
 TEST(EngineDrainBackoff, RetryAfterIsPastTheBackoffAndSpread) {
   NoticeRelay r(2);
   r.advertises("p1", false, 3000);
   r.advertises("p2", false, 2000);
-  mt_ms_t least = 100000, most = 0;
+  mt_ms_t shortest = 100000, longest = 0;
   for (uint64_t i = 1; i <= 50; i++) {
     EXPECT_EQ(r.placed_at(i), "");
     EXPECT_EQ(r.refusal(), MT_RELAY_BACKOFF);
     mt_ms_t after = r.find(MT_RELAY_DO_REFUSE, i)->u.refuse.retry_after;
-    least = std::min(least, after);
-    most = std::max(most, after);
+    shortest = std::min(shortest, after);
+    longest = std::max(longest, after);
   }
-  EXPECT_GE(least, 2000u);
-  EXPECT_LE(most, 3000u);
-  EXPECT_GT(most - least, 300u);
+  EXPECT_GE(shortest, 2000u);
+  EXPECT_LE(longest, 3000u);
+  EXPECT_GT(longest - shortest, 300u);
 }
 
-// The relay records when it last refused a request for lack of an engine.
+// The relay records when it last refused a request for lack of an engine, so
+// that added engines are read from the store without delay.
 TEST(EngineDrainBackoff, LackOfEnginesIsRecorded) {
   NoticeRelay r(2);
   EXPECT_EQ(r.relay->no_engine_at, 0u);
--- a/tests/engine_notices_test.cc
+++ b/tests/engine_notices_test.cc
@@ -2,10 +2,11 @@
 //
 // Guards against routers that forward an answer and ignore what it says about
 // the engine. While the store was unreachable, routers went on sending
-// requests to engines whose answers said that they drain: 831 of 12,663
-// requests came more than 2 s after such an answer at the same router, the
-// last one 7.8 s. Engines that had rejected a request and asked for 3 s of
-// backoff got 28 to 39 more requests in that time.
+// requests to engines whose answers said that they drain: of 12,663 requests
+// at 12 routers 831 were sent more than 2 s after such an answer at the same
+// router, the last one 7.8 s after it. Engines that had rejected a request
+// and asked for 3 s of backoff got 28 to 39 more requests in that time; 4,817
+// of 5,556 backoffs had more than two requests in them.
 #include <gtest/gtest.h>
 
 #include "soak/fleet.h"
@@ -122,7 +123,7 @@
     p.at_first = 0;
     p.ask(20);
     EXPECT_EQ(p.at_first, 0);
-    // The store still lists it as ready and repeats that entry.
+    // The store still lists the engine as ready and repeats that entry.
     p.w.put("servers/i-1", entry(p.first, 5));
     p.w.put("servers/i-3", entry(p.second, 7));
     ASSERT_TRUE(p.w.until([&] {
--- a/tests/far_round_test.cc
+++ b/tests/far_round_test.cc
@@ -43,14 +43,14 @@
   }
   // The asked owners reply with these loads: pending prefill tokens at local
   // and at remote engines, and running requests at local ones.
-  void reply (uint64_t number, int64_t near, int64_t remote,
+  void reply (uint64_t number, int64_t local, int64_t remote,
               int running = 0) {
     std::vector<mt_relay_quote_t> quotes;
     for (uint64_t key : asked(number)) {
-      bool away = mt_engines_get(&relay->engines, key)->remote;
+      bool is_remote = mt_engines_get(&relay->engines, key)->remote;
       mt_relay_quote_t quote{};
       quote.engine = key;
-      quote.peers = {away ? remote : near, 0, away ? 0 : running};
+      quote.peers = {is_remote ? remote : local, 0, is_remote ? 0 : running};
       quotes.push_back(quote);
     }
     mt_relay_event_t event{};
@@ -90,8 +90,8 @@
 TEST(FarRound, WaitLimitIsLowerInRemoteDomains) {
   struct Row {
     const char *what;
-    double part_of_limit; // expected wait in remote domains
-    double service_ratio; // of the workspace
+    double fraction_of_limit; // expected wait in remote domains
+    double service_ratio;     // of the workspace
     bool taken;
   } rows[] = {{"idle engines", 0, 0.5, true},
               {"half of the limit", 0.5, 0.5, true},
@@ -110,7 +110,7 @@
     w.ask(1, "/stream/x");
     w.reply(1, full, full);
     ASSERT_FALSE(w.asked(1).empty()) << row.what;
-    w.reply(1, full, (int64_t)(row.part_of_limit * limit / ms_per_token));
+    w.reply(1, full, (int64_t)(row.fraction_of_limit * limit / ms_per_token));
     EXPECT_EQ(w.started(1) != 0, row.taken) << row.what;
     EXPECT_EQ(w.refusal() != MT_RELAY_REFUSAL_COUNT, !row.taken) << row.what;
   }
@@ -135,7 +135,8 @@
       const mt_engine_load_t load = {row.pending_prefill, 0, 0};
       mt_domain_loads_learn(w.relay, w.m(i), &load);
     }
-    // The home of the fleet may be in another domain: the same load there.
+    // The home of the fleet may be in another domain; its owner reports the
+    // same load.
     w.reply(1, full, row.pending_prefill);
     EXPECT_EQ(!w.asked(1).empty(), row.asked) << row.what;
     EXPECT_EQ(w.refusal() != MT_RELAY_REFUSAL_COUNT, !row.asked) << row.what;
@@ -153,30 +154,30 @@
               {"the last request there failed", 0, 1, true}};
   for (const Row &row : rows) {
     Fleet w;
-    mt_engine_t *near = w.find("p1");
-    near->failures = row.failures;
-    mt_relay_incoming_t a{};
+    mt_engine_t *local = w.find("p1");
+    local->failures = row.failures;
+    mt_relay_incoming_t incoming{};
     std::string id = "r1", host = "h.example", path = "/again/x",
                 key = "key-w1";
-    a.id = {id.data(), id.size()};
-    a.host = {host.data(), host.size()};
-    a.path = {path.data(), path.size()};
-    a.key = {key.data(), key.size()};
-    a.deadline_ms = 5000;
-    a.last_event = -1;
+    incoming.id = {id.data(), id.size()};
+    incoming.host = {host.data(), host.size()};
+    incoming.path = {path.data(), path.size()};
+    incoming.key = {key.data(), key.size()};
+    incoming.deadline_ms = 5000;
+    incoming.last_event = -1;
     mt_relay_event_t event{};
     event.kind = MT_RELAY_REQUEST;
     event.request = 1;
-    event.u.ask = &a;
+    event.u.ask = &incoming;
     w.step(event);
-    ASSERT_EQ(w.asked(1), std::vector<uint64_t>{near->key}) << row.what;
+    ASSERT_EQ(w.asked(1), std::vector<uint64_t>{local->key}) << row.what;
     w.reply(1, 0, 0, row.running);
     if (row.leaves) {
       EXPECT_EQ(w.asked(1).size(), 2u) << row.what;
       w.reply(1, 0, 0);
     }
     ASSERT_NE(w.started(1), 0u) << row.what;
-    EXPECT_EQ(w.started(1) != near->key, row.leaves) << row.what;
+    EXPECT_EQ(w.started(1) != local->key, row.leaves) << row.what;
   }
   // Without an engine in the local domain remote ones are asked at once.
   Fleet w;
--- a/tests/feed_exchange_test.cc
+++ b/tests/feed_exchange_test.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr mt_ms_t kTick = 25, kHelloInterval = 150;
+constexpr mt_ms_t kTickMs = 25, kHelloIntervalMs = 150;
 
 struct Fleet;
 
@@ -29,7 +29,7 @@
   std::map<std::string, mt_change_kind_t> known; // engines, domains, keys
   std::map<std::string, mt_ms_t> since;
   size_t outcomes[MT_FEED_OUTCOMES]{};
-  uint64_t sent = 0, cross_domain = 0;
+  uint64_t sent = 0, cross_domain = 0; // bytes
   ~Router() {
     mt_feed_exchange_free(&feeds);
     mt_membership_free(&members);
@@ -94,9 +94,9 @@
     ASSERT_TRUE(mt_peer_message_unpack(copy.get(), bytes, n));
     for (size_t i = 0; i < count; i++) {
       Router *other = r->fleet->by_ip[to[i]];
-      bool far = other->members.own_domain != r->members.own_domain;
+      bool remote = other->members.own_domain != r->members.own_domain;
       r->sent += n;
-      r->cross_domain += far ? n : 0;
+      r->cross_domain += remote ? n : 0;
       if (r->fleet->random() % 1000 >= r->fleet->loss)
         r->fleet->deliver(r, other, *copy);
     }
@@ -125,7 +125,7 @@
   void change (mt_change_kind_t kind, const std::string &name) {
     changes.push_back(mt_change_make(kind, name.c_str(), ++rev));
   }
-  // A router reads the changes of one feed from the source, as by a watch.
+  // A router reads the changes of one feed from the source, as from a watch.
   void read (Router *r, mt_feed_kind_t kind) {
     int64_t newest = r->feeds.feeds[kind].state.newest;
     for (const mt_change_t &c : changes) {
@@ -140,16 +140,16 @@
   }
   // A router reads a list of engines that may be out of date.
   void list_engines (Router *r) {
-    std::map<std::string, mt_change_t> there;
+    std::map<std::string, mt_change_t> listed;
     mt_map_t seen{};
     int64_t last = 0;
     for (const mt_change_t &c : changes) {
       if (c.kind == MT_CHANGE_ENGINE_GONE)
-        there.erase(c.name);
+        listed.erase(c.name);
       else if (mt_change_feed(c.kind) == MT_FEED_ENGINES)
-        there[c.name] = c;
+        listed[c.name] = c;
     }
-    for (auto &row : there) {
+    for (auto &row : listed) {
       mtV_put(&seen, mt_engine_key(row.first.c_str(), row.first.size()), r);
       last = std::max(last, row.second.rev);
       mt_feed_exchange_add_change(&r->feeds, &row.second);
@@ -161,14 +161,14 @@
     mtV_free(&seen);
   }
   void run (mt_ms_t ms) {
-    for (mt_ms_t end = now + ms; now < end; now += kTick) {
+    for (mt_ms_t end = now + ms; now < end; now += kTickMs) {
       update_members();
       for (auto &r : routers) {
         r->members.now = now;
         bool reads = !r->rejected && mt_membership_watches(&r->members);
         for (int i = 0; i < MT_FEEDS && reads; i++)
           read(r.get(), (mt_feed_kind_t)i);
-        if ((now + r->members.own_ip) % kHelloInterval < kTick)
+        if ((now + r->members.own_ip) % kHelloIntervalMs < kTickMs)
           hello(r.get());
         mt_feed_exchange_tick(&r->feeds);
       }
@@ -201,10 +201,10 @@
       count += !r->known.count(name) || r->known[name] != kind;
     return count;
   }
-  void reject_some (double part) {
+  void reject_some (double probability) {
     for (auto &r : routers)
       r->rejected =
-          std::uniform_real_distribution<double>(0, 1)(random) < part;
+          std::uniform_real_distribution<double>(0, 1)(random) < probability;
     routers[0]->rejected = false; // one router must read the source
   }
 };
@@ -213,9 +213,9 @@
   struct Row {
     const char *what;
     int count, domains;
-    double part;   // probability that the source rejects a router
-    unsigned loss; // of 1,000 messages
-    mt_ms_t within;
+    double rejected; // probability that the source rejects a router
+    unsigned loss;   // of 1,000 messages
+    mt_ms_t within;  // time until all routers know a change
   } rows[] = {{"a pair", 2, 1, 0.5, 0, 500},
               {"a small fleet", 6, 3, 0.5, 0, 500},
               {"a fleet", 12, 2, 0.35, 0, 500},
@@ -227,7 +227,7 @@
     for (unsigned seed = 1; seed <= 10; seed++) {
       Fleet w(row.count, row.domains, seed);
       w.loss = row.loss;
-      w.reject_some(row.part);
+      w.reject_some(row.rejected);
       w.run(500);
       for (int round = 0; round < 5; round++) {
         std::string name = "i-" + std::to_string(round);
@@ -291,8 +291,8 @@
   EXPECT_EQ(after.newest, before.newest);
 }
 
-// Changes of the other feed raise the source's revision; no change is
-// missing.
+// Changes of the other feed raise the source's revision, which must not look
+// like a missing change.
 TEST(FeedExchange, ChangesOfOneFeedLeaveNoGapInTheOther) {
   Fleet w(12, 2, 1);
   for (int round = 0; round < 4; round++) {
@@ -317,7 +317,7 @@
   EXPECT_EQ(behind->known.count("i-1"), 0u);
   w.loss = 0;
   w.change(MT_CHANGE_ENGINE_DRAINING, "i-2");
-  w.run(kTick);
+  w.run(kTickMs);
   EXPECT_EQ(behind->known["i-2"], MT_CHANGE_ENGINE_DRAINING);
   w.run(300);
   EXPECT_EQ(behind->known["i-1"], MT_CHANGE_ENGINE_DRAINING);
@@ -362,7 +362,7 @@
 // A list does not show removed engines. Its reader sends removals of unlisted
 // engines, also of those known from peers only, but does not claim to know
 // all changes up to the list. When it did, a gateway that took its changes
-// for complete sent work to an engine for 14.7 s after that was gone.
+// for complete sent work to an engine for 14.7 s after it had been removed.
 TEST(FeedExchange, AStaleListShowsRemovalsButCompletesNoRange) {
   Fleet w(4, 1, 1);
   Router *behind = w.routers[2].get(), *list_reader = w.routers[3].get();
@@ -426,9 +426,9 @@
   mt_feed_exchange_source_read(&list_reader->feeds, MT_FEED_ENGINES, w.rev,
                                w.rev, MT_FEED_LISTING);
   w.run(12000);
-  size_t asked = w.routers[2]->outcomes[MT_FEED_REQUESTED];
-  EXPECT_GE(asked, 9u); // one every 1,200 ms, or more
-  EXPECT_LE(asked, 16u);
+  size_t requests = w.routers[2]->outcomes[MT_FEED_REQUESTED];
+  EXPECT_GE(requests, 9u); // at least one every 1,200 ms
+  EXPECT_LE(requests, 16u);
 }
 
 // Changes that do not fit into one message are sent in several; the size of a
@@ -493,7 +493,7 @@
     for (auto &r : w.routers) before += r->sent;
     for (int i = 0; i < count; i++) {
       w.change(MT_CHANGE_ENGINE_READY, "i-" + std::to_string(i));
-      if (i % 500 == 499) w.run(kTick); // the source sends 500 at a time
+      if (i % 500 == 499) w.run(kTickMs); // the source sends 500 at a time
     }
     w.change(MT_CHANGE_ENGINE_DRAINING, "before");
     w.run(500);
@@ -524,15 +524,15 @@
     before += r->sent, cross_domain -= r->cross_domain;
   for (int round = 0; round < 20; round++) {
     w.change(MT_CHANGE_ENGINE_DRAINING, "i-" + std::to_string(round));
-    w.run(kTick);
+    w.run(kTickMs);
   }
-  size_t asked = 0;
+  size_t requests = 0;
   for (auto &r : w.routers) {
     after += r->sent;
     cross_domain += r->cross_domain;
-    asked += r->outcomes[MT_FEED_REQUESTED];
+    requests += r->outcomes[MT_FEED_REQUESTED];
   }
-  EXPECT_EQ(asked, 0u);
+  EXPECT_EQ(requests, 0u);
   printf("a change at 85 routers: %.0f bytes, %.0f to other domains\n",
          (double)(after - before) / 20, (double)cross_domain / 20);
 }
--- a/tests/feed_state_test.cc
+++ b/tests/feed_state_test.cc
@@ -12,7 +12,7 @@
     const char *what;
     int64_t reported;      // last change as reported by peers before the read
     int64_t newest, at;    // as then read from the source; 100 was known
-    bool now, unannounced; // up to date; with changes that no peer has sent
+    bool now, unannounced; // current; with changes that no peer has sent
     mt_feed_update_t update; // due, base, reach
   } rows[] = {{"no change", 90, 90, 120, true, false, {false, 0, 0}},
               {"a change", 90, 110, 120, true, true, {true, 90, 110}},
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -45,8 +45,6 @@
          "\r\nX-Engine-Seal: seal-s\r\nTransfer-Encoding: chunked\r\n\r\n";
 }
 
-// }==
-
 TEST(Gateway, ForwardsRequestAndAnswer) {
   World w;
   Request seen;
@@ -175,7 +173,7 @@
     ASSERT_EQ(s.first.size(), 3u);
     EXPECT_EQ(s.second, bodies[s.first[2] - '0']) << s.first;
   }
-  EXPECT_GE(seen.size(), 2u); // at least the short ones arrived complete
+  EXPECT_GE(seen.size(), 2u); // at least the short bodies arrived complete
 }
 
 TEST(Gateway, AnswerWithoutLengthIsForwardedWithoutLength) {
@@ -243,12 +241,12 @@
 TEST(Gateway, DoesNotForwardRequestsOfDisconnectedCallers) {
   struct Row {
     const char *what;
-    bool kept;  // the connection has served another request before
-    bool reset; // else it is closed
+    bool reused; // the connection has served another request before
+    bool reset;  // else it is closed
   } rows[] = {{"closed", false, false},
               {"reset", false, true},
-              {"kept, closed", true, false},
-              {"kept, reset", true, true}};
+              {"reused, closed", true, false},
+              {"reused, reset", true, true}};
   for (const Row &row : rows) {
     World w;
     std::map<std::string, int> ran;
@@ -258,15 +256,15 @@
     });
     w.engine("i-1", "plain", e);
     w.start();
-    Conn *left = w.connect(w.callers);
-    if (row.kept) {
-      left->send(World::ask("/once/x", "before"));
-      ASSERT_TRUE(w.until([&] { return World::whole(left->in); }));
+    Conn *caller = w.connect(w.callers);
+    if (row.reused) {
+      caller->send(World::ask("/once/x", "before"));
+      ASSERT_TRUE(w.until([&] { return World::is_complete(caller->in); }));
     }
     kill(w.pid, SIGSTOP);
-    if (!row.kept) left = w.connect(w.callers);
-    left->send(World::ask("/once/x", "left"));
-    row.reset ? left->abort() : left->close();
+    if (!row.reused) caller = w.connect(w.callers);
+    caller->send(World::ask("/once/x", "left"));
+    row.reset ? caller->abort() : caller->close();
     kill(w.pid, SIGCONT);
     for (const char *id : {"after", "later"})
       EXPECT_EQ(World::status_of(w.call(World::ask("/once/x", id))), 200);
@@ -359,10 +357,10 @@
 TEST(Gateway, GracefulStopFinishesRequestsInProgress) {
   World w;
   Conn *at_engine = nullptr;
-  Request asked;
+  Request received;
   Listener *e = w.listen([&] (Conn &c, const Request &r) {
     at_engine = &c;
-    asked = r;
+    received = r;
   });
   w.engine("i-1", "plain", e);
   w.start();
@@ -373,8 +371,8 @@
   ASSERT_TRUE(
       w.until([&] { return w.log.find("event=stopping") != w.log.npos; }));
   EXPECT_EQ(w.ask_ready(), 503);
-  at_engine->send(ok_answer(asked, "done"));
-  EXPECT_TRUE(w.until([&] { return World::whole(c->in); }));
+  at_engine->send(ok_answer(received, "done"));
+  EXPECT_TRUE(w.until([&] { return World::is_complete(c->in); }));
   EXPECT_EQ(body_of(c->in), "done");
   EXPECT_NE(c->in.find("Connection: close"), c->in.npos);
   int status = -1;
@@ -385,8 +383,8 @@
 }
 
 // A signal that arrives while the settings are read neither kills the process
-// nor is lost. SIGTERM at that moment once ended a gateway with status 15 in
-// place of an orderly stop.
+// nor is lost: an unhandled SIGTERM at that moment would end the gateway with
+// status 15 in place of an orderly stop.
 TEST(Gateway, HandlesSignalsDuringStartup) {
   struct Row {
     int signal;
@@ -442,8 +440,8 @@
   EXPECT_FALSE(idle.back()->closed); // the last to be idle
 }
 
-// Operators evacuate a failure domain and end that; the gateway learns it
-// from a watch or a list.
+// Operators evacuate a failure domain and end the evacuation; the gateway
+// learns of both from a watch or a list.
 TEST(Gateway, SendsNothingToAnEvacuatedDomain) {
   World w;
   Listener *e = w.listen(
@@ -455,25 +453,25 @@
   auto status = [&] {
     return World::status_of(w.call(World::ask("/safe/x", "id1")));
   };
-  auto said = [&] (const std::string &domain, const char *outcome) {
+  auto logged = [&] (const std::string &domain, const char *outcome) {
     std::string line = "domain=" + domain + " outcome=" + outcome;
     return w.until([&] { return w.log.find(line) != w.log.npos; });
   };
-  ASSERT_TRUE(said("d1", "begun"));
+  ASSERT_TRUE(logged("d1", "begun"));
   EXPECT_EQ(status(), 503);
   EXPECT_NE(w.fetch(w.metrics, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
                 .find("evacuated_domains 2"),
             std::string::npos);
   w.remove("op/evacuate/d1");
-  ASSERT_TRUE(said("d1", "over"));
+  ASSERT_TRUE(logged("d1", "over"));
   EXPECT_EQ(status(), 200);
   w.log.clear();
   w.put("op/evacuate/d1", "{}");
-  ASSERT_TRUE(said("d1", "begun"));
+  ASSERT_TRUE(logged("d1", "begun"));
   EXPECT_EQ(status(), 503);
   w.remove("op/evacuate/d1", false);
   w.compact(); // only a list shows the end of the evacuation
-  ASSERT_TRUE(said("d1", "over"));
+  ASSERT_TRUE(logged("d1", "over"));
   EXPECT_EQ(status(), 200);
   EXPECT_EQ(w.log.find("domain=d9 outcome=over"), w.log.npos);
 }
@@ -486,10 +484,11 @@
       [&] (Conn &c, const Request &r) { c.send(ok_answer(r, "x")); });
   w.engine("i-1", "plain", e);
   w.start();
-  // The format: 21 numbers, then lists of members, shares, engines,
-  // segments, changes, suspects, and a report on a suspect.
+  // The format: 21 numbers (all but the first two are `value` here), then
+  // lists of members, shares, engines, segments, changes, suspects, and a
+  // report on a suspect.
   auto message = [] (uint64_t kind, const std::vector<uint64_t> &rows,
-                     uint64_t rest = 1, size_t lists = 7) {
+                     uint64_t value = 1, size_t lists = 7) {
     msgpack_sbuffer out;
     msgpack_packer pk;
     msgpack_sbuffer_init(&out);
@@ -497,7 +496,7 @@
     msgpack_pack_array(&pk, 21 + lists);
     msgpack_pack_uint64(&pk, 8); // version of the format
     msgpack_pack_uint64(&pk, kind);
-    for (int i = 2; i < 21; i++) msgpack_pack_uint64(&pk, rest);
+    for (int i = 2; i < 21; i++) msgpack_pack_uint64(&pk, value);
     for (size_t list = 0; list < lists; list++) {
       msgpack_pack_array(&pk, rows.size());
       for (uint64_t n : rows) msgpack_pack_uint64(&pk, n);
@@ -506,16 +505,17 @@
     msgpack_sbuffer_destroy(&out);
     return text;
   };
-  const uint64_t most = UINT64_MAX;
-  std::string whole = message(0, {1, 2, 3, 4, 5, 6, 7});
+  const uint64_t largest = UINT64_MAX;
+  std::string valid = message(0, {1, 2, 3, 4, 5, 6, 7});
   std::vector<std::string> datagrams = {
       "", "x", std::string(1000, '\xc1'),
-      std::string("\xdd\xff\xff\xff\xff", 5), whole};
+      std::string("\xdd\xff\xff\xff\xff", 5), valid};
   for (uint64_t kind = 0; kind < 16; kind++) { // two of them are undefined
     datagrams.push_back(message(kind, {}));
     datagrams.push_back(message(kind, {0, 0, 0, 0, 0, 5, 9}));
-    datagrams.push_back(message(kind, {0, 0, 0, 0, 0, 5, 9}, most));
-    datagrams.push_back(message(kind, std::vector<uint64_t>(10, most), most));
+    datagrams.push_back(message(kind, {0, 0, 0, 0, 0, 5, 9}, largest));
+    datagrams.push_back(
+        message(kind, std::vector<uint64_t>(10, largest), largest));
     datagrams.push_back(message(kind, std::vector<uint64_t>(3, 9), 60000));
     datagrams.push_back(message(kind, std::vector<uint64_t>(1500, 9)));
     // Reports of each kind, rows of each state.
@@ -523,8 +523,8 @@
       datagrams.push_back(message(kind, {n, 7, n, 9, 1, 5, 600, n}));
     datagrams.push_back(message(kind, {1, 2, 3}, 1, 3));
   }
-  for (size_t n = 1; n < whole.size(); n++)
-    datagrams.push_back(whole.substr(0, n));
+  for (size_t n = 1; n < valid.size(); n++)
+    datagrams.push_back(valid.substr(0, n));
   int fd = socket(AF_INET, SOCK_DGRAM, 0);
   sockaddr_in from{}; // another address than the gateway's own
   from.sin_family = AF_INET;
@@ -628,9 +628,9 @@
     int status;                  // of a request after that
   } rows[] = {
       {"i-new", "127.0.0.1", ready, 0, 1, 1, "taken", 200},  // new: ignored
-      {"i-1", "127.0.0.9", ready, 1, 2, 2, "taken", 200},    // new address
-      {"i-1", "127.0.0.9", draining, 2, 3, 3, "taken", 200}, // no such engine
-      {"i-9", "127.0.0.1", gone, 3, 4, 9, "taken", 200},     // not known
+      {"i-1", "127.0.0.9", ready, 1, 2, 2, "taken", 200},    // other address
+      {"i-1", "127.0.0.9", draining, 2, 3, 3, "taken", 200}, // other address
+      {"i-9", "127.0.0.1", gone, 3, 4, 9, "taken", 200},     // not listed
       {"i-1", "127.0.0.1", draining, 6, 7, 9, "gap", 503},   // drains
       {"i-1", "127.0.0.1", ready, 4, 5, 9, "taken", 503},    // older
       {"i-1", "127.0.0.1", ready, 5, 8, 9, "taken", 200}};   // newer
@@ -673,7 +673,7 @@
                  c.send(answer(503, "X-Not-Executed: 1\r\n", ""));
                },
                "outcome=refused why=engines_refused"},
-              {"late", [] (Conn &c, const Request &r) {},
+              {"no answer in time", [] (Conn &c, const Request &r) {},
                "outcome=refused why=timeout"}};
   for (const Row &row : rows) {
     World w;
@@ -688,13 +688,14 @@
     std::string command =
         bin + "/martentiller explain id-failed " + file + " 2>&1";
     FILE *pipe = popen(command.c_str(), "r");
-    std::string told;
+    std::string output;
     char buf[4096];
-    while (fgets(buf, sizeof buf, pipe)) told += buf;
+    while (fgets(buf, sizeof buf, pipe)) output += buf;
     EXPECT_EQ(pclose(pipe), 0);
-    EXPECT_NE(told.find(row.line), told.npos) << row.name;
-    EXPECT_NE(told.find("event=engine engine=i-1"), told.npos) << row.name;
-    EXPECT_NE(told.find("event=configuration version=7"), told.npos);
+    EXPECT_NE(output.find(row.line), output.npos) << row.name;
+    EXPECT_NE(output.find("event=engine engine=i-1"), output.npos)
+        << row.name;
+    EXPECT_NE(output.find("event=configuration version=7"), output.npos);
     unlink(file.c_str());
   }
 }
@@ -709,10 +710,10 @@
   for (int i = 0; i < 600; i++) {
     c->in.clear();
     c->send(World::ask("/safe/x", "id" + std::to_string(i)));
-    ASSERT_TRUE(w.until([&] { return World::whole(c->in); })) << i;
+    ASSERT_TRUE(w.until([&] { return World::is_complete(c->in); })) << i;
   }
   EXPECT_EQ(World::status_of(c->in), 200);
-  close(w.pending_prefill);
+  close(w.unread_log);
 }
 
 TEST(Gateway, ParsesCallerRequests) {
@@ -755,7 +756,7 @@
       "Authorization: Token key-w1\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (char byte : head + chunk("abc") + chunk("de") + "0\r\n\r\n")
     c->send(std::string(1, byte));
-  ASSERT_TRUE(w.until([&] { return World::whole(c->in); }));
+  ASSERT_TRUE(w.until([&] { return World::is_complete(c->in); }));
   EXPECT_EQ(body_of(c->in), "abcde");
   c->in.clear();
   c->send(World::ask("/safe/x", "id2", "first") +
--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -78,7 +78,7 @@
   int fd, port;
   Handler handler;
   int accepted = 0; // connections
-  Handler early; // called when a head has come, before its body; may be null
+  Handler early;    // called before the body has been received; may be null
 };
 
 std::string base64 (const std::string &text) {
@@ -122,7 +122,7 @@
   std::list<Listener> listeners;
   std::map<std::string, Item> items; // the store's entries
   long rev = 10;                     // the store's revision
-  // A watch call that waits for changes after a revision.
+  // A watch call that waits for changes after the revision `since`.
   struct Watch {
     Conn *conn;
     std::string prefix;
@@ -134,7 +134,7 @@
   std::map<std::string, Item> stale_items; // in stale lists; empty: none
   int stale_lists_served = 0;
   int era = 0; // the store's era, in its answers; 0: not named
-  int lists_asked = 0, watches_gone = 0; // lists served; watches with 410
+  int lists_served = 0, watches_gone = 0; // watches answered with 410
   size_t page = 0; // most items of one answer to a list; 0: no limit
   // Called after each answer to a list, with its range.
   std::function<void(const std::string &)> on_list;
@@ -328,7 +328,7 @@
       notify_watches();
       return;
     }
-    lists_asked++;
+    lists_served++;
     size_t from = line.find("since_rev="), count = 0;
     std::string all, after, more = "false";
     if (from != std::string::npos)
@@ -394,17 +394,17 @@
     notify_watches();
   }
   // A backup of the store.
-  struct Copy {
+  struct Backup {
     std::map<std::string, Item> items;
     std::map<std::string, long> removed;
     long rev;
   };
-  Copy copy () const {
+  Backup backup () const {
     return {items, removed, rev};
   }
   // Restores the store from a backup: all watches are reset, revisions
   // continue from the backup's, and a new era begins.
-  void restore (const Copy &from) {
+  void restore (const Backup &from) {
     items = from.items;
     removed = from.removed;
     rev = from.rev;
@@ -477,11 +477,11 @@
     metrics = port("metrics=");
     ASSERT_TRUE(until([&] { return ask_ready() == 200; }));
     if (!keep_log) { // no longer read, but still open
-      pending_prefill = out;
+      unread_log = out;
       out = -1;
     }
   }
-  int pending_prefill = -1; // the pipe, after start(false)
+  int unread_log = -1; // the pipe, after start(false)
   // The port of an address in the log's start line.
   int port (const std::string &name) {
     size_t at = log.find(name);
@@ -519,13 +519,13 @@
     Conn *c = connect(port);
     if (c == nullptr) return "";
     c->send(text);
-    until([&] { return c->closed || whole(c->in); });
+    until([&] { return c->closed || is_complete(c->in); });
     std::string in = c->in;
     c->close();
     return in;
   }
   // True if an answer is complete.
-  static bool whole (const std::string &in) {
+  static bool is_complete (const std::string &in) {
     size_t end = in.find("\r\n\r\n");
     if (end == std::string::npos) return false;
     size_t at = in.find("Content-Length: ");
--- a/tests/mechanism_test.cc
+++ b/tests/mechanism_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-const char *const least =
+const char *const required_settings =
     "\"node\":\"n\",\"domain\":\"d\",\"callers\":\"127.0.0.1:0\",\"ready\":"
     "\"127.0.0.1:0\",\"metrics\":\"127.0.0.1:0\",\"peers\":\"127.0.0.1:0\"";
 
@@ -24,8 +24,8 @@
               {"[\"fetsh\"]", false, 0},
               {"[7]", false, 0}};
   for (const Row &row : rows) {
-    std::string text =
-        std::string("{") + least + ",\"relay\":{\"off\":" + row.off + "}}";
+    std::string text = std::string("{") + required_settings +
+                       ",\"relay\":{\"off\":" + row.off + "}}";
     json_t *doc = json_loads(text.c_str(), 0, nullptr);
     mt_gateway_settings_t set;
     mt_faults_t faults{};
@@ -40,13 +40,13 @@
 }
 
 TEST(Mechanisms, DisabledMechanismIsNotUsed) {
-  const mt_prefix_segment_t part = {7, 4000};
+  const mt_prefix_segment_t segment = {7, 4000};
   for (bool off : {false, true}) {
     Relay r(2);
     r.declare();
     r.relay->params.off[MT_RELAY_FETCH] = off;
     mt_engine_t *owner = r.find("m1");
-    mt_prefix_cache_use(&owner->cached, &part, 1, 100000);
+    mt_prefix_cache_use(&owner->cached, &segment, 1, 100000);
     owner->local.pending_prefill = 100000;
     r.ask(1, "/stream/x", "key-w1", 5000, 8000);
     EXPECT_EQ(r.find(MT_RELAY_DO_START)->u.start.source,
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -304,7 +304,7 @@
         EXPECT_TRUE(m.own_ip != owner || m.own_domain == domain);
     }
     for (auto &k : owned)
-      EXPECT_LE(k.second, 500 / count * 3 + 12); // evenly, about
+      EXPECT_LE(k.second, 500 / count * 3 + 12); // about evenly
   }
 }
 
@@ -374,7 +374,7 @@
     if (before.count(m.own_ip) == 0 && mt_membership_watches(&m))
       after.insert(m.own_ip);
   EXPECT_EQ(after.size(), 6u);
-  // Where no router reaches it a few keep trying, not all.
+  // Where no router reaches the source a few keep trying, not all.
   size_t trying = 0;
   for (mt_membership_t &m : fleet.routers) {
     m.own_reaches_source = false;
@@ -388,9 +388,9 @@
 
 // {== Loads ================================================================
 
-// The load book is bounded: forged datagrams may report loads at any number
-// of engines that do not exist.
-TEST(LoadBook, EnginesFromDatagramsAreBounded) {
+// Datagrams are not authenticated: they may report loads at any number of
+// engines that do not exist, so the table is bounded.
+TEST(LoadTable, EnginesFromDatagramsAreBounded) {
   mt_load_table_t router_loads{};
   mt_load_row_t row{};
   row.router = 1;
@@ -406,7 +406,7 @@
   mt_load_table_free(&router_loads);
 }
 
-TEST(LoadBook, SumsWhatOthersHave) {
+TEST(LoadTable, SumsLoadsOfOtherRouters) {
   mt_load_table_t router_loads{};
   mt_load_row_t a{}, b{};
   a.router = 1;
@@ -581,8 +581,8 @@
   EXPECT_NE(w.find(MT_RELAY_DO_START, 1), nullptr);
 }
 
-// If no engine that was asked about has room, the request is refused at once.
-// A second round of quotes for other engines did not help.
+// If no engine that was asked about has room, the request is refused at once:
+// a second round of quotes for other engines does not find room either.
 TEST(RelayQuotes, OwnersAreAskedOnce) {
   struct Row {
     const char *what;
@@ -606,15 +606,16 @@
   }
 }
 
-// Engines m1 to m8 are in the own failure domain, m9 to m16 in another.
-TEST(RelayQuotes, OtherFailureDomainsAreAskedWhenTheOwnIsFull) {
+// Engines m1 to m8 are in the local failure domain, m9 to m16 in a remote
+// one.
+TEST(RelayQuotes, RemoteDomainsAreAskedWhenTheLocalOneIsFull) {
   struct Row {
     const char *what;
-    int64_t near, remote; // pending prefill at every engine there
-    bool off;             // the second round
+    int64_t local, remote; // pending prefill at every engine there
+    bool off;              // the second round
     bool taken;
-  } rows[] = {{"room in the own domain", 0, 0, false, true},
-              {"room in the other domain", 500000, 0, false, true},
+  } rows[] = {{"room in the local domain", 0, 0, false, true},
+              {"room in the remote domain", 500000, 0, false, true},
               {"no room", 500000, 500000, false, false},
               {"second round switched off", 500000, 0, true, false}};
   for (const Row &row : rows) {
@@ -634,31 +635,32 @@
     std::vector<uint64_t> keys = asked(w, 1);
     while (!keys.empty()) {
       std::vector<mt_relay_quote_t> quotes;
-      size_t in_other_domains = 0;
+      size_t remote_count = 0;
       for (; quoted < keys.size(); quoted++) {
-        bool is_far = remote.count(keys[quoted]) > 0;
-        in_other_domains += is_far;
+        bool is_remote = remote.count(keys[quoted]) > 0;
+        remote_count += is_remote;
         quotes.push_back(
-            quote_of(keys[quoted], is_far ? row.remote : row.near));
+            quote_of(keys[quoted], is_remote ? row.remote : row.local));
       }
-      // First round: the own domain's engines, and the home engine for all
-      // routers, which may be in the other domain.
-      EXPECT_TRUE(rounds == 0 ? in_other_domains <= 1
-                              : in_other_domains == quotes.size());
+      // First round: engines of the local domain, and the home engine of the
+      // fleet, which may be in the remote domain.
+      EXPECT_TRUE(rounds == 0 ? remote_count <= 1
+                              : remote_count == quotes.size());
       rounds++;
-      // The home engine has no more room than the own domain's.
+      // The home engine of the fleet has no more room than local engines.
       if (rounds == 1)
-        for (mt_relay_quote_t &q : quotes) q.peers.pending_prefill = row.near;
+        for (mt_relay_quote_t &q : quotes)
+          q.peers.pending_prefill = row.local;
       quote(w, 1, quotes);
       keys = asked(w, 1);
     }
     EXPECT_EQ(w.find(MT_RELAY_DO_START) != nullptr, row.taken) << row.what;
     EXPECT_EQ(w.refusal() == MT_RELAY_BUSY, !row.taken) << row.what;
-    EXPECT_EQ(rounds, row.near > 0 && !row.off ? 2u : 1u) << row.what;
+    EXPECT_EQ(rounds, row.local > 0 && !row.off ? 2u : 1u) << row.what;
   }
 }
 
-// Requests spread their questions over all engines.
+// Each request asks for quotes of a few engines; together they ask about all.
 TEST(RelayQuotes, RequestsAskAboutDifferentEngines) {
   Relay w(60);
   w.declare();
@@ -780,7 +782,7 @@
 TEST(Overload, FollowsTheLengthOfTicks) {
   struct Row {
     const char *name;
-    std::vector<std::pair<int, mt_ms_t>> turns; // number of ticks, length, ms
+    std::vector<std::pair<int, mt_ms_t>> ticks; // number, length in ms
     bool overloaded;
   } rows[] = {{"idle", {{100, 25}}, false},
               {"one long pause", {{10, 25}, {1, 60}, {10, 25}}, false},
@@ -791,9 +793,9 @@
   for (const Row &row : rows) {
     mt_overload_t overload{};
     int changes = 0;
-    for (auto &turns : row.turns)
-      for (int i = 0; i < turns.first; i++)
-        changes += mt_overload_update(&overload, turns.second, 25);
+    for (auto &ticks : row.ticks)
+      for (int i = 0; i < ticks.first; i++)
+        changes += mt_overload_update(&overload, ticks.second, 25);
     EXPECT_EQ(overload.overloaded, row.overloaded) << row.name;
     EXPECT_EQ(changes % 2 == 1, row.overloaded) << row.name;
   }
--- a/tests/prefix_holders_test.cc
+++ b/tests/prefix_holders_test.cc
@@ -84,7 +84,7 @@
   struct Row {
     const char *what;
     bool home;
-    int64_t pending_prefill; // of 4,000 shared and 1,000 own tokens
+    int64_t pending_prefill; // of 4,000 shared and 1,000 unshared tokens
     bool report;
   } rows[] = {{"shared segments, away from home", false, 5000, true},
               {"the unshared segment only", false, 1000, false},
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -47,7 +47,8 @@
     event.u.tried.verdict = verdict;
     step(event);
   }
-  // Both owners grant their leases; returns the engine that it is sent to.
+  // The owners of the suspect and of the engine grant their leases; returns
+  // the engine that the request is sent to.
   uint64_t granted (uint64_t number) {
     tried(number, MT_TRIAL_GRANTED);
     if (message(MT_SUSPECT_MESSAGE_LEASE_ENGINE) == nullptr) return 0;
@@ -83,8 +84,8 @@
   } rows[] = {
       {"connections are refused", true, false, true, false, true},
       {"connections come up", true, true, false, false, false},
-      {"it is unreachable", true, false, false, false, false},
-      {"its entry expires later", true, false, false, true, true},
+      {"the engine is unreachable", true, false, false, false, false},
+      {"the engine's entry is removed later", true, false, false, true, true},
       {"the request was not sent yet", false, false, true, false, false},
   };
   for (const Row &row : rows) {
@@ -95,8 +96,8 @@
     ASSERT_NE(engine, 0u);
     if (row.sent) r.sent(1);
     r.fail(1, !row.sent);
-    bool tries = r.find(MT_RELAY_DO_PROBE) != nullptr;
-    EXPECT_EQ(tries, row.sent);
+    bool probes = r.find(MT_RELAY_DO_PROBE) != nullptr;
+    EXPECT_EQ(probes, row.sent);
     r.probed(engine, row.up, row.refused);
     bool reported = r.message(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
     if (row.gone) {
@@ -221,7 +222,7 @@
     EXPECT_EQ(message->digest, QuarantineRelay::digest());
     EXPECT_EQ(message->alone, row.outcome == 2);
     EXPECT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE),
-              nullptr); // in every case
+              nullptr); // whatever the outcome
   }
 }
 
--- a/tests/rejection_test.cc
+++ b/tests/rejection_test.cc
@@ -33,8 +33,8 @@
   }
 };
 
-// Retries were not subject to the wait limit: the few engines that still took
-// work got queues of seconds, and all requests there were late.
+// Guards against retries that ignore the wait limit: the few engines that
+// still take work get queues of seconds, and all requests there are late.
 TEST(Rejection, RetryNeedsRoomLikeAFirstAttempt) {
   struct Row {
     const char *what;
@@ -49,7 +49,7 @@
       {"not sent, room elsewhere", "/stream/x", End::NOT_SENT, 0, true},
       {"not sent, a queue elsewhere", "/stream/x", End::NOT_SENT, 100000,
        false},
-      {"a run that was lost, a queue elsewhere", "/stream/x", End::LOST,
+      {"lost after it was sent, a queue elsewhere", "/stream/x", End::LOST,
        100000, true},
       {"a service without prompts", "/again/x", End::REJECTED, 0, true},
   };
@@ -67,8 +67,9 @@
   }
 }
 
-// An engine that rejected nearly everything looked idle and got as much work
-// as any other, although other engines had room.
+// Guards against placement that does not count rejections: an engine that
+// rejects nearly everything looks idle and gets as much work as any other,
+// although other engines have room.
 TEST(Rejection, RejectingEngineAttractsNoWork) {
   struct Row {
     const char *what;
@@ -99,8 +100,8 @@
   }
 }
 
-// The workspace that sent most also used most of the retry budget, so that
-// workspaces that had got little were denied retries.
+// Guards against the workspace that sends most using up the retry budget, so
+// that workspaces that have got little are denied retries.
 TEST(Rejection, RetriesGoToWorkspacesBelowTheirShare) {
   struct Row {
     const char *what;
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -120,24 +120,24 @@
   void ask (uint64_t number, const char *path, const char *key = "key-w1",
             int64_t deadline = 5000, int64_t tokens = 1000,
             const char *host = "h.example", uint64_t digest = 0) {
-    mt_relay_incoming_t a{};
-    a.digest = digest;
+    mt_relay_incoming_t incoming{};
+    incoming.digest = digest;
     std::string id = "r" + std::to_string(number);
-    a.id = {id.data(), id.size()};
-    a.host = {host, strlen(host)};
-    a.path = {path, strlen(path)};
-    a.key = {key, strlen(key)};
-    a.deadline_ms = deadline;
-    a.last_event = -1;
-    a.tokens_in = tokens;
-    a.tokens_out = 50;
-    a.segments[0] = {7, tokens / 2};
-    a.segments[1] = {number * 2 + 1001, tokens - tokens / 2};
-    a.segments_count = 2;
+    incoming.id = {id.data(), id.size()};
+    incoming.host = {host, strlen(host)};
+    incoming.path = {path, strlen(path)};
+    incoming.key = {key, strlen(key)};
+    incoming.deadline_ms = deadline;
+    incoming.last_event = -1;
+    incoming.tokens_in = tokens;
+    incoming.tokens_out = 50;
+    incoming.segments[0] = {7, tokens / 2};
+    incoming.segments[1] = {number * 2 + 1001, tokens - tokens / 2};
+    incoming.segments_count = 2;
     mt_relay_event_t event{};
     event.kind = MT_RELAY_REQUEST;
     event.request = number;
-    event.u.ask = &a;
+    event.u.ask = &incoming;
     step(event);
   }
   int attempt (uint64_t number) {
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -198,8 +198,8 @@
   EXPECT_TRUE(r.idle());
 }
 
-// The body of a second engine's error response was forwarded behind the
-// events of the first.
+// Guards against forwarding the body of a second engine's error response
+// after the events of the first.
 TEST(RelayStreams, ErrorResponseDoesNotContinueAStream) {
   Relay r;
   r.declare();
@@ -269,8 +269,8 @@
   }
 }
 
-// A stream that was accepted long after STOP was cut off as the process
-// exited.
+// Guards against accepting a stream so long after STOP that it is cut off
+// when the process exits.
 TEST(RelayStop, AcceptsOnlyWhatCanFinish) {
   struct Row {
     const char *path;
@@ -327,7 +327,7 @@
   struct Row {
     mt_engine_state_t before;
     mt_ms_t later;
-    bool back, used;
+    bool listed_again, used;
   } rows[] = {{MT_ENGINE_READY, 0, false, true},
               {MT_ENGINE_READY, 1000, false, true},
               {MT_ENGINE_READY, 1400, false, false},
@@ -339,7 +339,7 @@
     mt_engine_t *e = r.find("p1");
     e->state = row.before;
     mt_relay_engine_unlisted(r.relay, e, r.now, r.now);
-    if (row.back) e->unlisted_since = 0;
+    if (row.listed_again) e->unlisted_since = 0;
     r.pass(row.later);
     r.ask(1, "/again/x");
     EXPECT_EQ(r.find(MT_RELAY_DO_START) != nullptr, row.used) << row.later;
@@ -347,7 +347,7 @@
 }
 
 TEST(RelayPlacement, SharedSegmentSelectsOneEngineOnAllRouters) {
-  Relay a, b; // two routers without contact
+  Relay a, b; // two routers that exchange no messages
   std::set<uint64_t> used;
   a.declare();
   b.declare();
@@ -385,7 +385,7 @@
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain, 3, 1000), 600);
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain + 1, 2, 1000), 500);
   cache.clock += 900;
-  mt_prefix_cache_use(&cache, chain, 2, 1000); // segment 3: 900 ago
+  mt_prefix_cache_use(&cache, chain, 2, 1000); // segment 3: 900 tokens ago
   cache.clock += 200;
   EXPECT_EQ(mt_prefix_cache_match(&cache, chain, 3, 1000), 300);
   cache.clock += 900;
@@ -425,10 +425,10 @@
 TEST(FairShare, OverShareWorkspaceMayWaitLess) {
   Relay r(1);
   r.declare();
-  mt_share_t *rich = mt_fair_share_get(&r.relay->shares, mtV_id("w1", 2));
-  mt_share_t *poor = mt_fair_share_get(&r.relay->shares, mtV_id("w2", 2));
-  rich->peers = {100000, 50000};
-  poor->peers = {100000, 5000};
+  mt_share_t *over = mt_fair_share_get(&r.relay->shares, mtV_id("w1", 2));
+  mt_share_t *under = mt_fair_share_get(&r.relay->shares, mtV_id("w2", 2));
+  over->peers = {100000, 50000};
+  under->peers = {100000, 5000};
   r.pass(200);
   int taken[2] = {0, 0};
   const char *keys[] = {"key-w1", "key-w2"};
@@ -439,7 +439,8 @@
   EXPECT_GT(taken[1], taken[0]);
 }
 
-// Room at idle engines went to the workspace that sent most often.
+// Guards against giving the room at idle engines to the workspace that sends
+// most often.
 TEST(FairShare, UnderServedWorkspaceGetsMoreRoom) {
   struct Row {
     const char *key;
@@ -513,10 +514,10 @@
     Relay r;
     r.declare();
     std::map<uint64_t, int> finals;
-    std::map<uint64_t, bool> once, went_out;
+    std::map<uint64_t, bool> once, written;
     std::set<uint64_t> open;
     uint64_t next = 0;
-    auto look = [&] {
+    auto check_effects = [&] {
       for (size_t i = 0; i < r.effects.count; i++) {
         const mt_relay_effect_t &fx = r.effects.list[i];
         EXPECT_EQ(finals[fx.request], 0) << "seed " << seed;
@@ -525,13 +526,13 @@
           finals[fx.request]++;
           open.erase(fx.request);
         }
-        bool ran = once[fx.request] && went_out[fx.request];
+        bool ran = once[fx.request] && written[fx.request];
         if (fx.kind == MT_RELAY_DO_REFUSE) {
           EXPECT_FALSE(ran && mt_relay_refusal_status(fx.u.refuse.why) == 503)
               << "seed " << seed;
         }
         if (fx.kind == MT_RELAY_DO_START) {
-          EXPECT_FALSE(once[fx.request] && went_out[fx.request])
+          EXPECT_FALSE(once[fx.request] && written[fx.request])
               << "seed " << seed;
           mt_engine_t *e =
               mt_engines_get(&r.relay->engines, fx.u.start.engine);
@@ -552,12 +553,12 @@
         r.ask(number, paths[path], random() % 2 ? "key-w1" : "key-w2",
               200 + (int64_t)(random() % 3000),
               200 + (int64_t)(random() % 3000));
-        look();
+        check_effects();
         continue;
       }
       if (what == 11) {
         r.pass(random() % 200);
-        look();
+        check_effects();
         continue;
       }
       if (what == 10) {
@@ -572,12 +573,12 @@
       uint64_t number = *it;
       auto *q = (mt_relay_request_t *)mtV_get(&r.relay->requests, number);
       if (q == nullptr) continue;
-      bool told_not_run = false;
+      bool not_run = false;
       switch (what) {
         case 4:
           if (!q->written) {
             r.sent(number);
-            went_out[number] = true;
+            written[number] = true;
           }
           break;
         case 5:
@@ -591,10 +592,10 @@
           break;
         case 8:
           if (q->written && q->status == 0) {
-            told_not_run = random() % 2;
-            if (told_not_run) went_out[number] = false;
-            r.head(number, told_not_run ? 503 : 500, false,
-                   told_not_run ? MT_RELAY_NOT_RUN : MT_RELAY_RAN);
+            not_run = random() % 2;
+            if (not_run) written[number] = false;
+            r.head(number, not_run ? 503 : 500, false,
+                   not_run ? MT_RELAY_NOT_RUN : MT_RELAY_RAN);
           }
           break;
         case 9:
@@ -607,12 +608,12 @@
           break;
         default: continue;
       }
-      look();
+      check_effects();
     }
     while (r.relay->count > 0) {
       r.effects.count = 0;
       r.pass(7000);
-      look();
+      check_effects();
     }
     EXPECT_TRUE(r.idle()) << "seed " << seed;
   }
--- a/tests/restart_test.cc
+++ b/tests/restart_test.cc
@@ -12,8 +12,8 @@
   Relay r(2);
   r.declare();
   mt_engine_t *e = r.find("m1");
-  const mt_prefix_segment_t part = {7, 500};
-  mt_prefix_cache_use(&e->cached, &part, 1, 100000);
+  const mt_prefix_segment_t segment = {7, 500};
+  mt_prefix_cache_use(&e->cached, &segment, 1, 100000);
   mt_prefix_holders_set(&r.relay->holders, 7, e->key, r.now);
   e->state = MT_ENGINE_DRAINING;
   e->unlisted_since = r.now;
@@ -28,7 +28,7 @@
   event.kind = MT_RELAY_RESTARTED;
   event.u.restarted = e->key;
   r.step(event);
-  EXPECT_EQ(mt_prefix_cache_match(&e->cached, &part, 1, 100000), 0);
+  EXPECT_EQ(mt_prefix_cache_match(&e->cached, &segment, 1, 100000), 0);
   EXPECT_EQ(mt_prefix_holders_find(&r.relay->holders, 7), 0u);
   EXPECT_EQ(
       mt_load_table_sum(&r.relay->router_loads, e->key, 0, r.now).running, 0);
@@ -40,11 +40,12 @@
   EXPECT_EQ(e->slowness, 1.0);
 }
 
-// Requests at the previous start are lost before their connections report it.
+// Requests at the previous start are treated as lost before their connections
+// fail.
 TEST(Restart, RunningRequestsAreLostAtOnce) {
   struct Row {
     const char *what, *path;
-    bool again;
+    bool retried;
   } rows[] = {{"it may be repeated", "/again/x", true},
               {"it may run once", "/once/x", false}};
   for (const Row &row : rows) {
@@ -60,11 +61,11 @@
     r.step(event);
     EXPECT_NE(r.find(MT_RELAY_DO_CANCEL, 1), nullptr);
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
-    EXPECT_EQ(fx != nullptr, row.again);
+    EXPECT_EQ(fx != nullptr, row.retried);
     if (fx != nullptr) {
       EXPECT_NE(fx->u.start.engine, engine);
     }
-    EXPECT_EQ(r.refusal() == MT_RELAY_ENGINE_LOST, !row.again);
+    EXPECT_EQ(r.refusal() == MT_RELAY_ENGINE_LOST, !row.retried);
   }
 }
 
--- a/tests/revision_test.cc
+++ b/tests/revision_test.cc
@@ -85,13 +85,13 @@
   EXPECT_EQ(sizes[0], sizes[1]);
 }
 
-// A router that knows all changes of an era knows none of the next.
-TEST(FeedState, LaterEraMarksTheFeedAsLacking) {
+// A router that knows all changes of one era knows none of the next.
+TEST(FeedState, LaterEraMarksTheFeedAsBehind) {
   struct Row {
     const char *what;
     mt_revision_t newest, at; // reported; all changes up to 1/100 are known
     mt_revision_t known;      // afterwards
-    bool lacks;
+    bool behind;
   } rows[] = {{"nothing changed", mt_revision(1, 90), mt_revision(1, 120),
                mt_revision(1, 120), false},
               {"the source was restored", mt_revision(2, 40),
@@ -107,7 +107,7 @@
     mt_feed_state_merge(&feed, row.newest, row.at, 1500);
     EXPECT_EQ(feed.received, row.known) << row.what;
     EXPECT_EQ(feed.applied, row.known) << row.what;
-    EXPECT_EQ(mt_feed_state_is_behind(&feed), row.lacks) << row.what;
+    EXPECT_EQ(mt_feed_state_is_behind(&feed), row.behind) << row.what;
   }
 }
 
--- a/tests/share_exchange_test.cc
+++ b/tests/share_exchange_test.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr mt_ms_t kTick = 25;
+constexpr mt_ms_t kTickMs = 25;
 
 struct Fleet;
 
@@ -69,7 +69,8 @@
     peer->last_seen = now;
     mt_share_exchange_receive(&to->exchange, peer, &m);
   }
-  Fleet(int count, int domains, int kinds) : workspaces(kinds) {
+  Fleet(int count, int domains, int workspace_count)
+      : workspaces(workspace_count) {
     for (int i = 0; i < count; i++) {
       routers.push_back(std::make_unique<Router>());
       Router *r = routers.back().get();
@@ -101,7 +102,7 @@
   }
   void run (mt_ms_t ms) {
     for (mt_ms_t end = now + ms; now < end;) {
-      now += kTick;
+      now += kTickMs;
       for (size_t i = 0; i < routers.size(); i++) {
         Router *r = routers[i].get();
         if (r->down) continue;
@@ -140,7 +141,7 @@
 }
 
 // Rates of a failure domain that is lost expire, as do those of lost routers
-// of the own one; the other routers still know each other.
+// of the local one; the other routers still know each other.
 TEST(ShareExchange, LostRoutersAreNotCounted) {
   struct Row {
     const char *what;
@@ -149,25 +150,25 @@
   for (const Row &row : rows) {
     Fleet w(60, 5, 1);
     w.run(3000);
-    int left = 60;
-    for (int i = row.from; i < 60; i += row.every, left--)
+    int remaining = 60;
+    for (int i = row.from; i < 60; i += row.every, remaining--)
       w.routers[(size_t)i]->down = true;
     w.run(8000);
     for (auto &r : w.routers) {
       if (r->down) continue;
-      EXPECT_EQ(w.seen(*r, 1), 100.0 * left) << row.what;
-      EXPECT_EQ(r->members.live, left) << row.what;
+      EXPECT_EQ(w.seen(*r, 1), 100.0 * remaining) << row.what;
+      EXPECT_EQ(r->members.live, remaining) << row.what;
     }
   }
 }
 
 // With many routers and workspaces rounds are far apart. Heartbeats still
-// keep live routers of the own failure domain known, and show within seconds
-// which ones have ended.
+// keep live routers of the local failure domain known, and show within
+// seconds which ones have ended.
 TEST(ShareExchange, HeartbeatsKeepMembershipCurrentBetweenRareRounds) {
   Fleet w(100, 2, 300);
   w.all_ask = true;
-  auto wrong = [&] (bool down) {
+  auto count_wrong = [&] (bool down) {
     int count = 0;
     for (auto &r : w.routers)
       for (size_t i = 0; !r->down && i < r->members.count; i++) {
@@ -183,10 +184,10 @@
   for (auto &r : w.routers)
     interval = std::max(interval, r->exchange.interval);
   EXPECT_GE(interval, 5000u); // else the test proves nothing
-  EXPECT_EQ(wrong(false), 0);
+  EXPECT_EQ(count_wrong(false), 0);
   for (size_t i = 0; i < 8; i++) w.routers[i]->down = true;
   w.run(12000);
-  EXPECT_EQ(wrong(true), 0);
+  EXPECT_EQ(count_wrong(true), 0);
 }
 
 // The bytes per second that a router sends are bounded, and few of them go to
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -135,7 +135,7 @@
     world.conns.push_back({fd, ""});
     Conn &c = world.conns.back();
     c.send(text);
-    until([&] { return c.closed || ::World::whole(c.in); });
+    until([&] { return c.closed || ::World::is_complete(c.in); });
     std::string in = c.in;
     c.close();
     return in;
--- a/tests/store_refusal_test.cc
+++ b/tests/store_refusal_test.cc
@@ -83,8 +83,8 @@
   }
 }
 
-// It cannot know what was added, but refuses keys and routes that were
-// removed, with 503.
+// A gateway that the store refuses cannot know which keys and routes were
+// added, but refuses removed ones with 503.
 TEST(StoreRefusal, RefusesRevokedKeysAndClosedRoutes) {
   for (int gateways : {3, 10}) {
     SCOPED_TRACE(gateways);
@@ -118,9 +118,9 @@
   }
 }
 
-// A gateway that reads a version may have missed the one before. What that
-// one added and this one removes it only knows from other routers, and must
-// still announce.
+// A gateway that reads a version may have missed the one before. It knows
+// what the missed version added, and this one removes, only from other
+// routers, and must still announce the removal.
 TEST(StoreRefusal, RefusesAdditionsOfASkippedVersion) {
   Fleet fleet(3);
   ASSERT_TRUE(fleet.wait_ready());
--- a/tests/store_restored_test.cc
+++ b/tests/store_restored_test.cc
@@ -1,5 +1,5 @@
-// store_restored_test.cc - a gateway whose store is restored from a copy and
-// issues the same revisions again
+// store_restored_test.cc - a gateway whose store is restored from a backup
+// and issues the same revisions again
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -60,10 +60,10 @@
 // next watch.
 TEST(StoreRestored, ADrainAtAReusedRevisionIsApplied) {
   Fleet f(2);
-  World::Copy copy = f.w.copy();
+  World::Backup backup = f.w.backup();
   f.raise_revision(6);
   f.w.start();
-  f.w.restore(copy);
+  f.w.restore(backup);
   f.w.on_list = [&] (const std::string &range) {
     if (range != "servers/") return;
     f.w.on_list = nullptr;
@@ -77,13 +77,13 @@
 // Each restore is noticed, even if the store is back before any call failed.
 TEST(StoreRestored, SeveralRestoresInARow) {
   Fleet f(4);
-  World::Copy copy = f.w.copy();
+  World::Backup backup = f.w.backup();
   f.raise_revision(6);
   f.w.start();
   for (int i = 1; i <= 3; i++) {
     std::string id = "i-" + std::to_string(i);
-    f.w.restore(copy);
-    f.w.restore(copy);
+    f.w.restore(backup);
+    f.w.restore(backup);
     for (int k = 1; k <= i; k++) f.set("i-" + std::to_string(k), "draining");
     ASSERT_TRUE(f.wait_for_drain(id));
     EXPECT_EQ(f.runs_at(id, 5), 0);
@@ -94,13 +94,13 @@
 // Guards against combining pages of a list from before and after a restore.
 TEST(StoreRestored, ARestoreInTheMiddleOfAPagedList) {
   Fleet f(6);
-  World::Copy copy = f.w.copy();
+  World::Backup backup = f.w.backup();
   f.raise_revision(6);
   f.w.page = 2;
   int lists = 0;
   f.w.on_list = [&] (const std::string &range) {
     if (range != "servers/" || ++lists != 2) return;
-    f.w.restore(copy);
+    f.w.restore(backup);
     f.set("i-1", "draining");
     f.raise_revision(5);
   };
@@ -117,7 +117,7 @@
   f.w.start();
   f.set("i-1", "draining");
   ASSERT_TRUE(f.wait_for_drain("i-1"));
-  World::Copy now = f.w.copy();
+  World::Backup now = f.w.backup();
   size_t before = f.w.log.size();
   f.w.era = 1;
   f.set("i-1", "ready");
@@ -131,8 +131,8 @@
   EXPECT_EQ(f.runs_at("i-1", 5), 0);
 }
 
-// A write after the copy was made, and the outcomes in the log when a router
-// applies and undoes it; `subject` selects the lines.
+// A write after the backup was made, and the outcomes in the log when a
+// router applies and undoes it; `subject` selects the lines.
 struct LateWrite {
   const char *what;
   std::function<void(Fleet &)> write;
@@ -153,11 +153,11 @@
 }
 
 // Restores the store after the row's write, which is then repeated or not.
-// True when the router undid the write.
+// Returns true if the router undid the write.
 bool is_undone (const LateWrite &row, bool again) {
   Fleet f(3);
   f.w.items.erase("servers/i-3");
-  World::Copy copy = f.w.copy();
+  World::Backup backup = f.w.backup();
   f.w.start();
   auto logged = [&] (const std::string &outcome, size_t from) {
     std::istringstream lines(f.w.log.substr(from));
@@ -175,7 +175,7 @@
   f.w.on_list = [&] (const std::string &range) {
     if (range == row.range && ++lists == 1 && again) row.write(f);
   };
-  f.w.restore(copy);
+  f.w.restore(backup);
   EXPECT_TRUE(f.w.until([&] {
     return lists >= 2 && (again || logged(row.undone, before));
   })) << row.what;
@@ -183,7 +183,7 @@
   return logged(row.undone, before);
 }
 
-// The copy lacks the last writes; their writers repeat them.
+// The backup lacks the last writes; their writers repeat them.
 TEST(StoreRestored, WhatIsWrittenAgainIsKept) {
   for (const LateWrite &row : late_writes())
     EXPECT_FALSE(is_undone(row, true)) << row.what;
@@ -194,14 +194,14 @@
     EXPECT_TRUE(is_undone(row, false)) << row.what;
 }
 
-// The copy has an older document, in which the revoked key is valid.
+// The backup has an older document, in which the revoked key is valid.
 TEST(StoreRestored, ARevokedKeyStaysRevoked) {
   Fleet f(1);
-  World::Copy copy = f.w.copy();
+  World::Backup backup = f.w.backup();
   f.w.start();
   f.w.put("op/config", World::config(8, "key-new"));
   ASSERT_TRUE(f.wait_for_log("version=8 "));
-  f.w.restore(copy);
+  f.w.restore(backup);
   ASSERT_TRUE(
       f.wait_for_log("version=7 routes=3 workspaces=1 outcome=older"));
   EXPECT_EQ(World::status_of(f.w.call(World::ask("/safe/x", "q"))), 401);
--- a/tests/suspects_test.cc
+++ b/tests/suspects_test.cc
@@ -220,7 +220,7 @@
 TEST(SuspectsPage, ParsesPathsAndListsStates) {
   struct Row {
     const char *path;
-    bool at;
+    bool matches;
     uint64_t digest;
   } rows[] = {{"/suspects", true, 0},
               {"/suspects/00000000000000ff", true, 255},
@@ -232,7 +232,7 @@
               {"/", false, 0}};
   for (const Row &row : rows) {
     mt_bytes_t path = {row.path, strlen(row.path)};
-    EXPECT_EQ(mt_suspects_page_matches(path), row.at) << row.path;
+    EXPECT_EQ(mt_suspects_page_matches(path), row.matches) << row.path;
     EXPECT_EQ(mt_suspects_page_digest(path), row.digest) << row.path;
   }
   Table t;
@@ -273,11 +273,11 @@
   std::map<uint32_t, Router *> by_ip;
   mt_ms_t now = 1000000;
   std::mt19937 random;
-  unsigned lost = 0; // of 1,000 messages
+  unsigned loss = 0; // of 1,000 messages
   uint64_t bytes = 0;
 
   Fleet(int count, unsigned seed, unsigned lost_of_1000 = 0)
-      : random(seed), lost(lost_of_1000) {
+      : random(seed), loss(lost_of_1000) {
     for (int i = 0; i < count; i++) {
       routers.push_back(std::make_unique<Router>());
       Router *r = routers.back().get();
@@ -287,13 +287,13 @@
       open(r);
       by_ip[r->members.own_ip] = r;
     }
-    pass(0);
+    run(0);
   }
   void open (Router *r) {
-    const mt_suspect_exchange_callbacks_t calls = {begin, send, tried, note,
-                                                   r};
-    mt_suspect_exchange_open(&r->exchange, &r->members, &r->suspects, &calls,
-                             random());
+    const mt_suspect_exchange_callbacks_t callbacks = {begin, send, tried,
+                                                       note, r};
+    mt_suspect_exchange_open(&r->exchange, &r->members, &r->suspects,
+                             &callbacks, random());
   }
   // Restarts a router, which loses its table.
   void restart (Router *r) {
@@ -321,7 +321,7 @@
       Router *other = r->fleet->by_ip[ip];
       r->fleet->bytes += n;
       if (other->partitioned != r->partitioned) continue;
-      if (r->fleet->random() % 1000 < r->fleet->lost) continue;
+      if (r->fleet->random() % 1000 < r->fleet->loss) continue;
       mt_peer_t *peer = mt_membership_add(&other->members, r->members.own_ip);
       mt_suspect_exchange_receive(&other->exchange, peer, copy.get());
     }
@@ -332,7 +332,7 @@
   }
   static void note (void *, const mt_suspect_t *, uint32_t, const char *) {
   }
-  void pass (mt_ms_t ms) {
+  void run (mt_ms_t ms) {
     for (mt_ms_t end = now + ms; now <= end; now += 25)
       for (auto &r : routers) {
         for (auto &other : routers) {
@@ -348,20 +348,20 @@
   }
   void send_message (size_t router, mt_suspect_message_kind_t kind,
                      uint64_t engine = 0, bool alone = false) {
-    const mt_suspect_message_t word = {.kind = kind,
-                                       .digest = kDigest,
-                                       .engine = engine,
-                                       .request = router + 1,
-                                       .alone = alone,
-                                       .age = 0,
-                                       .lease = 5000};
-    mt_suspect_exchange_send(&routers[router]->exchange, &word);
+    const mt_suspect_message_t message = {.kind = kind,
+                                          .digest = kDigest,
+                                          .engine = engine,
+                                          .request = router + 1,
+                                          .alone = alone,
+                                          .age = 0,
+                                          .lease = 5000};
+    mt_suspect_exchange_send(&routers[router]->exchange, &message);
   }
   // Reports an end three times, as routers do.
   void ended (size_t router, uint64_t engine, bool alone = false) {
     for (int i = 0; i < 3; i++) {
       send_message(router, MT_SUSPECT_MESSAGE_ENDED, engine, alone);
-      pass(100);
+      run(100);
     }
   }
   mt_trial_verdict_t attempt (size_t router) {
@@ -381,7 +381,7 @@
   struct Row {
     const char *what;
     int routers;
-    unsigned lost;
+    unsigned loss; // of 1,000 messages
   } rows[] = {{"one router", 1, 0},
               {"six", 6, 0},
               {"six, a tenth of the messages lost", 6, 100},
@@ -390,16 +390,16 @@
   for (const Row &row : rows)
     for (unsigned seed = 1; seed <= 3; seed++) {
       SCOPED_TRACE(row.what + std::string(", seed ") + std::to_string(seed));
-      Fleet f(row.routers, seed, row.lost);
+      Fleet f(row.routers, seed, row.loss);
       size_t n = (size_t)row.routers;
       f.ended(0, 'a');
       EXPECT_LE(f.count_in(MT_SUSPICION_NOTED), 1u); // at its owner only
       f.ended(1 % n, 'b');
-      f.pass(2500);
+      f.run(2500);
       EXPECT_EQ(f.count_in(MT_SUSPICION_PROBATION), n);
       f.ended(2 % n, 'c', true);
       f.ended(3 % n, 'd', true);
-      f.pass(2500);
+      f.run(2500);
       EXPECT_EQ(f.count_in(MT_SUSPICION_QUARANTINE), n);
     }
 }
@@ -431,13 +431,13 @@
 }
 
 // A router that has answered the request completely since its first end
-// clears it, as is the case for a frequent harmless request.
+// clears the suspect: a frequent harmless request is answered all the time.
 TEST(SuspectExchange, RouterThatAnsweredClearsTheSuspect) {
   Fleet f(6, 5);
   f.ended(0, 'a');
-  f.pass(1000);
+  f.run(1000);
   mt_suspects_note_answer(&f.routers[4]->suspects, kDigest, f.now);
-  f.pass(1000);
+  f.run(1000);
   f.ended(1, 'b');
   EXPECT_EQ(f.count_in(MT_SUSPICION_PROBATION), 0u);
   EXPECT_EQ(f.attempt(2), MT_TRIAL_FREE);
@@ -449,7 +449,7 @@
   f.ended(1, 'b');
   f.ended(2, 'c', true);
   f.ended(3, 'd', true);
-  f.pass(1000);
+  f.run(1000);
   for (auto &r : f.routers) {
     f.restart(r.get());
     EXPECT_EQ(mt_suspects_state(&r->suspects, kDigest, f.now),
@@ -460,15 +460,15 @@
 TEST(SuspectExchange, PartitionedRoutersCatchUp) {
   Fleet f(9, 7);
   for (size_t i = 0; i < 9; i += 3) f.routers[i]->partitioned = true;
-  f.pass(4000);
+  f.run(4000);
   f.ended(1, 'a');
   f.ended(2, 'b');
   f.ended(4, 'c', true);
   f.ended(5, 'd', true);
-  f.pass(1000);
+  f.run(1000);
   EXPECT_EQ(f.count_in(MT_SUSPICION_QUARANTINE), 6u);
   for (auto &r : f.routers) r->partitioned = false;
-  f.pass(2800);
+  f.run(2800);
   EXPECT_EQ(f.count_in(MT_SUSPICION_QUARANTINE), 9u);
 }
 
@@ -481,7 +481,7 @@
     for (auto &r : f.routers) mt_suspects_merge(&r->suspects, &row, f.now);
   }
   f.bytes = 0;
-  f.pass(10000);
+  f.run(10000);
   EXPECT_LT(f.bytes / 85 / 10, 2000u); // bytes a second
 }
 
