--- a/tests/cold_start_test.cc
+++ b/tests/cold_start_test.cc
@@ -226,7 +226,7 @@
       Fleet w;
       for (int i = 1; i <= 8; i++)
         if (row.all_cold || i == 2) w.cold(w.m(i));
-      w.ask(number, "/stream/x");
+      w.request(number, "/stream/x");
       uint64_t key = w.reply_all(number, row.from_cold, row.from_others);
       // The second round asks the other domain, with the same replies.
       if (key == 0) key = w.reply_all(number, row.from_cold, row.from_others);
@@ -246,7 +246,7 @@
 TEST(ColdEngines, PermitIsUsedOnce) {
   Fleet w;
   for (int i = 1; i <= 8; i++) w.cold(w.m(i));
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   std::vector<uint64_t> keys = w.asked(1);
   ASSERT_GE(keys.size(), 2u);
   uint64_t first = w.reply_all(1, MT_ADMIT_PERMIT);
@@ -274,7 +274,7 @@
   Fleet w;
   for (int i = 1; i <= 8; i++) w.cold(w.m(i));
   w.pass(25);
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   auto *r = (mt_relay_request_t *)mtV_get(&w.relay->requests, 1);
   r->candidates[0].quoted = true;
   r->candidates[0].admission = MT_ADMIT_PERMIT;
@@ -284,7 +284,7 @@
   EXPECT_TRUE(mt_admission_allows(w.relay, r, e));
   w.relay->now = r->asked + MT_COLD_PERMIT_MS + 1;
   EXPECT_FALSE(mt_admission_allows(w.relay, r, e));
-  w.ask(2, "/stream/x");
+  w.request(2, "/stream/x");
   std::vector<uint64_t> keys = w.asked(2);
   w.cold(w.m(5), 0); // warm: needs no permit
   r = (mt_relay_request_t *)mtV_get(&w.relay->requests, 2);
@@ -312,7 +312,7 @@
     w.relay->routers = alone ? 1 : 2;
     w.pass(25);
     for (int i = 1; i <= 8; i++) w.cold(w.m(i));
-    w.ask(1, "/stream/x");
+    w.request(1, "/stream/x");
     EXPECT_FALSE(w.asked(1).empty()) << alone;
     w.pass(100);
     EXPECT_EQ(w.find(MT_RELAY_DO_START, 1), nullptr) << alone;
@@ -322,7 +322,7 @@
 TEST(ColdEngines, UnlimitedServiceNeedsNoPermit) {
   Fleet w;
   for (int i = 1; i <= 8; i++) w.cold(w.find("p" + std::to_string(i)));
-  w.ask(1, "/again/x"); // of a service without a rate for cold engines
+  w.request(1, "/again/x"); // of a service without a rate for cold engines
   EXPECT_NE(w.reply_all(1, MT_ADMIT_UNKNOWN), 0u);
 }
 
@@ -330,7 +330,7 @@
   Fleet w;
   for (int i = 2; i <= 4; i++) w.cold(w.m(i));
   for (uint64_t number = 1; number <= 20; number++) {
-    w.ask(number, "/stream/x");
+    w.request(number, "/stream/x");
     int cold = 0;
     auto *r = (mt_relay_request_t *)mtV_get(&w.relay->requests, number);
     for (uint64_t key : w.asked(number))
@@ -404,7 +404,7 @@
         Fleet w;
         for (const char *domain : row.evacuated_domains)
           mt_relay_evacuate(w.relay, domain, true, w.now);
-        w.ask(number, path);
+        w.request(number, path);
         uint64_t key = w.reply_all(number, MT_ADMIT_UNKNOWN);
         if (key == 0) key = w.reply_all(number, MT_ADMIT_UNKNOWN);
         if (const mt_relay_effect_t *fx = w.find(MT_RELAY_DO_START, number))
@@ -422,7 +422,7 @@
 
 TEST(Evacuation, RunningStreamsGoOnAndRetriesGoElsewhere) {
   Fleet w;
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   uint64_t key = w.reply_all(1, MT_ADMIT_UNKNOWN);
   ASSERT_NE(key, 0u);
   const mt_engine_t *first = mt_engines_get(&w.relay->engines, key);
--- a/tests/engine_drain_backoff_test.cc
+++ b/tests/engine_drain_backoff_test.cc
@@ -39,7 +39,7 @@
   using Relay::find;
   // The engine that a new request is sent to; empty: none.
   std::string placed_at (uint64_t number, const char *path = "/again/x") {
-    ask(number, path);
+    request(number, path);
     const mt_relay_effect_t *fx = find(MT_RELAY_DO_START, number);
     if (fx == nullptr) return "";
     return mt_engines_get(&relay->engines, fx->u.start.engine)->name;
@@ -160,7 +160,7 @@
     const mt_prefix_segment_t segment = {7, 500};
     mt_prefix_cache_use(&source_engine->cached, &segment, 1, 100000);
     if (draining) r.advertises("m1", true, 0);
-    r.ask(1, "/stream/x");
+    r.request(1, "/stream/x");
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START, 1);
     ASSERT_NE(fx, nullptr);
     EXPECT_EQ(fx->u.start.engine, r.find("m2")->key);
--- a/tests/fair_share_test.cc
+++ b/tests/fair_share_test.cc
@@ -34,7 +34,7 @@
     w->peers = {rates[i].asked * 1000, rates[i].served * 1000};
   }
   r.pass(200);
-  r.ask(1, "/stream/x", "key-w1");
+  r.request(1, "/stream/x", "key-w1");
   return r.find(MT_RELAY_DO_START, 1) != nullptr;
 }
 
--- a/tests/far_round_test.cc
+++ b/tests/far_round_test.cc
@@ -70,7 +70,7 @@
 
 TEST(FarRound, OneHomePerRemoteDomainIsAsked) {
   Fleet w;
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   w.reply(1, full, full);
   std::vector<uint64_t> first = w.asked(1);
   ASSERT_EQ(first.size(), 2u);
@@ -80,7 +80,7 @@
   // Requests with the same shared segments ask the same engines, unless the
   // home of the fleet was already asked in the first round.
   Fleet other;
-  other.ask(2, "/stream/x");
+  other.request(2, "/stream/x");
   other.reply(2, full, full);
   std::vector<uint64_t> second = other.asked(2);
   EXPECT_EQ(std::set<uint64_t>(first.begin(), first.end()),
@@ -107,7 +107,7 @@
         600 * w.relay->params.wait_fraction; // 600 ms: the shortest objective
     double ms_per_token =
         1 / mt_relay_prefill_rate(w.relay, mtV_id("model", 5));
-    w.ask(1, "/stream/x");
+    w.request(1, "/stream/x");
     w.reply(1, full, full);
     ASSERT_FALSE(w.asked(1).empty()) << row.what;
     w.reply(1, full, (int64_t)(row.fraction_of_limit * limit / ms_per_token));
@@ -129,7 +129,7 @@
               {"had room", 10, 100, true}};
   for (const Row &row : rows) {
     Fleet w;
-    w.ask(1, "/stream/x");
+    w.request(1, "/stream/x");
     w.relay->now = w.now - row.ago;
     for (int i : {5, 9}) {
       const mt_engine_load_t load = {row.pending_prefill, 0, 0};
@@ -182,7 +182,7 @@
   // Without an engine in the local domain remote ones are asked at once.
   Fleet w;
   w.find("p1")->state = MT_ENGINE_GONE;
-  w.ask(1, "/again/x");
+  w.request(1, "/again/x");
   EXPECT_EQ(w.asked(1).size(), 2u);
   w.reply(1, 0, 0);
   EXPECT_NE(w.started(1), 0u);
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -370,7 +370,7 @@
   kill(w.pid, SIGTERM);
   ASSERT_TRUE(
       w.until([&] { return w.log.find("event=stopping") != w.log.npos; }));
-  EXPECT_EQ(w.ask_ready(), 503);
+  EXPECT_EQ(w.ready_status(), 503);
   at_engine->send(ok_answer(received, "done"));
   EXPECT_TRUE(w.until([&] { return World::is_complete(c->in); }));
   EXPECT_EQ(body_of(c->in), "done");
--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -475,7 +475,7 @@
     callers = port("callers=");
     ready = port("ready=");
     metrics = port("metrics=");
-    ASSERT_TRUE(until([&] { return ask_ready() == 200; }));
+    ASSERT_TRUE(until([&] { return ready_status() == 200; }));
     if (!keep_log) { // no longer read, but still open
       unread_log = out;
       out = -1;
@@ -488,7 +488,7 @@
     at = log.find(':', at) + 1;
     return atoi(log.c_str() + at);
   }
-  int ask_ready () {
+  int ready_status () {
     Conn *c = connect(ready);
     if (c == nullptr) return 0;
     c->send("GET /-/readyz HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/tests/kv_cache_test.cc
+++ b/tests/kv_cache_test.cc
@@ -54,7 +54,7 @@
     cache_shared_segment(r, source_engine);
     source_engine->local.pending_prefill = 100000;
     row.change(r, source_engine);
-    r.ask(1, "/stream/x", "key-w1", 5000, 8000);
+    r.request(1, "/stream/x", "key-w1", 5000, 8000);
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
     ASSERT_NE(fx, nullptr) << row.what;
     EXPECT_EQ(fx->u.start.engine, r.find("m2")->key) << row.what;
@@ -74,7 +74,7 @@
   r.declare();
   cache_shared_segment(r, r.find("m1"));
   cache_shared_segment(r, r.find("m2"));
-  r.ask(1, "/stream/x", "key-w1", 5000, 8000);
+  r.request(1, "/stream/x", "key-w1", 5000, 8000);
   const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
   ASSERT_NE(fx, nullptr);
   EXPECT_EQ(fx->u.start.source, 0u);
@@ -87,7 +87,7 @@
   mt_engine_t *source_engine = r.find("m1");
   cache_shared_segment(r, source_engine);
   source_engine->local.pending_prefill = 100000;
-  r.ask(1, "/stream/x", "key-w1", 5000, 8000);
+  r.request(1, "/stream/x", "key-w1", 5000, 8000);
   ASSERT_EQ(r.find(MT_RELAY_DO_START)->u.start.source, source_engine->key);
   mt_engine_failed(source_engine, r.now);
   r.fail(1, true);
--- a/tests/mechanism_test.cc
+++ b/tests/mechanism_test.cc
@@ -48,7 +48,7 @@
     mt_engine_t *owner = r.find("m1");
     mt_prefix_cache_use(&owner->cached, &segment, 1, 100000);
     owner->local.pending_prefill = 100000;
-    r.ask(1, "/stream/x", "key-w1", 5000, 8000);
+    r.request(1, "/stream/x", "key-w1", 5000, 8000);
     EXPECT_EQ(r.find(MT_RELAY_DO_START)->u.start.source,
               off ? 0 : owner->key);
     owner->local.pending_prefill = 0;
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -541,7 +541,7 @@
   Relay w(8);
   w.declare();
   w.relay->routers = 2;
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   std::vector<uint64_t> keys = asked(w, 1);
   ASSERT_EQ(keys.size(), (size_t)MT_RELAY_ROUND_MAX);
   EXPECT_EQ(std::set<uint64_t>(keys.begin(), keys.end()).size(), keys.size());
@@ -560,7 +560,7 @@
   Relay w(8);
   w.declare();
   w.relay->routers = 2;
-  w.ask(1, "/stream/x", "key-w1", 5000, 8000);
+  w.request(1, "/stream/x", "key-w1", 5000, 8000);
   std::vector<uint64_t> keys = asked(w, 1);
   std::vector<mt_relay_quote_t> quotes;
   for (uint64_t key : keys) quotes.push_back(quote_of(key, 200));
@@ -575,7 +575,7 @@
   w.declare();
   w.relay->routers = 2;
   w.pass(25);
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   ASSERT_FALSE(asked(w, 1).empty());
   w.pass(100);
   EXPECT_NE(w.find(MT_RELAY_DO_START, 1), nullptr);
@@ -593,7 +593,7 @@
     Relay w(8);
     w.declare();
     w.relay->routers = 2;
-    w.ask(1, "/stream/x");
+    w.request(1, "/stream/x");
     std::vector<uint64_t> first = asked(w, 1);
     EXPECT_EQ(first.size(), (size_t)MT_RELAY_ROUND_MAX);
     std::vector<mt_relay_quote_t> quotes;
@@ -630,7 +630,7 @@
       e->remote = i > 8;
       if (i > 8) remote.insert(e->key);
     }
-    w.ask(1, "/stream/x");
+    w.request(1, "/stream/x");
     size_t quoted = 0, rounds = 0;
     std::vector<uint64_t> keys = asked(w, 1);
     while (!keys.empty()) {
@@ -668,7 +668,7 @@
   std::map<uint64_t, int> asked_about;
   const int requests = 600;
   for (uint64_t number = 1; number <= requests; number++) {
-    w.ask(number, "/stream/x");
+    w.request(number, "/stream/x");
     std::vector<uint64_t> keys = asked(w, number);
     for (size_t i = 2; i < keys.size(); i++) asked_about[keys[i]]++;
   }
@@ -680,7 +680,7 @@
 TEST(RelayQuotes, ASingleRouterAsksNobody) {
   Relay w(8);
   w.declare();
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   EXPECT_TRUE(asked(w, 1).empty());
   EXPECT_NE(w.find(MT_RELAY_DO_START, 1), nullptr);
 }
@@ -689,7 +689,7 @@
   Relay w(8);
   w.declare();
   w.relay->routers = 2;
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   std::vector<uint64_t> keys = asked(w, 1);
   w.step(w.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
   EXPECT_EQ(w.relay->count, 0u);
@@ -752,7 +752,7 @@
   for (const Row &row : rows) {
     Relay w(1);
     w.declare();
-    w.ask(1, "/stream/x");
+    w.request(1, "/stream/x");
     w.sent(1);
     row.end(w);
     mt_share_t *share = mt_fair_share_get(&w.relay->shares, mtV_id("w1", 2));
@@ -769,13 +769,13 @@
   Relay w;
   w.declare();
   w.relay->overloaded = true;
-  w.ask(1, "/stream/x");
+  w.request(1, "/stream/x");
   EXPECT_EQ(w.refusal(), MT_RELAY_FULL);
   EXPECT_GT(w.find(MT_RELAY_DO_REFUSE)->u.refuse.retry_after, 0u);
-  w.ask(2, "/once/x"); // no stream: costs little
+  w.request(2, "/once/x"); // no stream: costs little
   EXPECT_NE(w.find(MT_RELAY_DO_START, 2), nullptr);
   w.relay->overloaded = false;
-  w.ask(3, "/stream/x");
+  w.request(3, "/stream/x");
   EXPECT_NE(w.find(MT_RELAY_DO_START, 3), nullptr);
 }
 
--- a/tests/prefill_time_test.cc
+++ b/tests/prefill_time_test.cc
@@ -96,7 +96,7 @@
   r.declare();
   for (uint64_t i = 1; i <= 300; i++) {
     int64_t tokens = 500 + (int64_t)(i % 10) * 1000;
-    r.ask(i, "/stream/x", i % 2 ? "key-w1" : "key-w2", 5000, tokens);
+    r.request(i, "/stream/x", i % 2 ? "key-w1" : "key-w2", 5000, tokens);
     ASSERT_NE(r.find(MT_RELAY_DO_START), nullptr) << i;
     auto *request = (mt_relay_request_t *)mtV_get(&r.relay->requests, i);
     r.sent(i);
--- a/tests/prefix_holders_test.cc
+++ b/tests/prefix_holders_test.cc
@@ -56,7 +56,7 @@
     r.relay->params.off[MT_RELAY_HOLDERS] = row.off;
     mt_engine_t *holder = r.find("m3");
     holder->local.pending_prefill = 200000;
-    r.ask(1, "/stream/x", "key-w1", 5000, 8000);
+    r.request(1, "/stream/x", "key-w1", 5000, 8000);
     ASSERT_NE(r.find(MT_RELAY_DO_GET_QUOTES), nullptr) << row.what;
     if (row.gone) holder->state = MT_ENGINE_GONE;
     std::vector<mt_relay_quote_t> quotes;
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -13,8 +13,8 @@
   QuarantineRelay() : Relay(4) {
     declare();
   }
-  void ask_suspect (uint64_t number, const char *path = "/once/x") {
-    ask(number, path, "key-w1", 5000, 1000, "h.example", kDigest);
+  void request_suspect (uint64_t number, const char *path = "/once/x") {
+    request(number, path, "key-w1", 5000, 1000, "h.example", kDigest);
   }
   const mt_suspect_message_t *message (mt_suspect_message_kind_t kind) const {
     for (size_t i = 0; i < effects.count; i++)
@@ -91,7 +91,7 @@
   for (const Row &row : rows) {
     SCOPED_TRACE(row.what);
     QuarantineRelay r;
-    r.ask_suspect(1);
+    r.request_suspect(1);
     uint64_t engine = r.started();
     ASSERT_NE(engine, 0u);
     if (row.sent) r.sent(1);
@@ -118,7 +118,7 @@
 // Datagrams may be lost, so the report is repeated.
 TEST(Quarantine, EndIsReportedThreeTimes) {
   QuarantineRelay r;
-  r.ask_suspect(1);
+  r.request_suspect(1);
   uint64_t engine = r.started();
   r.sent(1);
   r.fail(1);
@@ -135,13 +135,13 @@
 TEST(Quarantine, QuarantinedRequestsAreRefused) {
   QuarantineRelay r;
   r.set_state(MT_SUSPICION_QUARANTINE);
-  r.ask_suspect(1);
+  r.request_suspect(1);
   EXPECT_EQ(r.refusal(), MT_RELAY_QUARANTINED);
   EXPECT_EQ(r.find(MT_RELAY_DO_REFUSE)->u.refuse.retry_after, 600000u);
   EXPECT_EQ(mt_relay_refusal_status(MT_RELAY_QUARANTINED), 503);
-  r.ask(2, "/once/x", "key-w2", 5000, 1000, "h.example", kDigest);
+  r.request(2, "/once/x", "key-w2", 5000, 1000, "h.example", kDigest);
   EXPECT_NE(r.started(), 0u); // of another workspace
-  r.ask(3, "/once/x", "key-w1", 5000, 1000, "h.example", kDigest + 1);
+  r.request(3, "/once/x", "key-w1", 5000, 1000, "h.example", kDigest + 1);
   EXPECT_NE(r.started(), 0u); // another request
 }
 
@@ -162,7 +162,7 @@
     SCOPED_TRACE(row.what);
     QuarantineRelay r;
     r.set_state(MT_SUSPICION_PROBATION);
-    r.ask_suspect(1);
+    r.request_suspect(1);
     ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_LEASE), nullptr);
     EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_LEASE)->request, 1u);
     EXPECT_EQ(r.started(), 0u);
@@ -194,7 +194,7 @@
     SCOPED_TRACE(row.what);
     QuarantineRelay r;
     r.set_state(MT_SUSPICION_PROBATION);
-    r.ask_suspect(1, "/again/x");
+    r.request_suspect(1, "/again/x");
     if (row.outcome == 4) {
       r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
       r.tried(1, MT_TRIAL_GRANTED);
@@ -235,10 +235,10 @@
   r.find("p3")->peers.running = 0;
   r.find("m2")->peers.running = 0;
   r.set_state(MT_SUSPICION_PROBATION);
-  r.ask_suspect(1);
+  r.request_suspect(1);
   EXPECT_EQ(r.granted(1), r.find("p3")->key);
   r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
-  r.ask_suspect(2, "/stream/x");
+  r.request_suspect(2, "/stream/x");
   EXPECT_EQ(r.granted(2), r.find("m2")->key);
 }
 
@@ -246,7 +246,7 @@
 TEST(Quarantine, OneSuspectPerEngine) {
   QuarantineRelay r;
   r.set_state(MT_SUSPICION_PROBATION);
-  r.ask_suspect(1);
+  r.request_suspect(1);
   r.tried(1, MT_TRIAL_GRANTED);
   ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_LEASE_ENGINE), nullptr);
   uint64_t engine = r.message(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
@@ -259,7 +259,7 @@
   r.tried(1, MT_TRIAL_GRANTED, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
   ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
   EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
-  r.ask_suspect(2);
+  r.request_suspect(2);
   engine = r.granted(2);
   r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 2));
   ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
--- a/tests/reach_test.cc
+++ b/tests/reach_test.cc
@@ -19,7 +19,7 @@
 TEST(Reach, UnreachableEngineGetsNoRequests) {
   Relay r(2);
   r.declare();
-  r.ask(1, "/once/x");
+  r.request(1, "/once/x");
   const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
   ASSERT_NE(fx, nullptr);
   mt_engine_t *lost = mt_engines_get(&r.relay->engines, fx->u.start.engine);
@@ -29,7 +29,7 @@
   ASSERT_NE(fx->u.start.engine, lost->key);
   int probes = 0;
   for (uint64_t i = 2; i < 100; i++) { // 9.8 s
-    r.ask(i, "/once/x");
+    r.request(i, "/once/x");
     fx = r.find(MT_RELAY_DO_START);
     ASSERT_NE(fx, nullptr) << i;
     EXPECT_NE(fx->u.start.engine, lost->key) << i;
@@ -62,14 +62,14 @@
   for (const Row &row : rows) {
     Relay r(1);
     r.declare();
-    r.ask(1, "/once/x");
+    r.request(1, "/once/x");
     r.fail(1, true);
     EXPECT_EQ(r.refusal(), MT_RELAY_UNREACHABLE) << row.what;
     r.pass(25);
     ASSERT_NE(r.find(MT_RELAY_DO_PROBE), nullptr) << row.what;
     if (row.answered) probed(r, r.find("p1"), row.up);
     r.now += row.later;
-    r.ask(2, "/once/x");
+    r.request(2, "/once/x");
     EXPECT_EQ(r.find(MT_RELAY_DO_START) != nullptr, row.used) << row.what;
     EXPECT_EQ(r.relay->counters.probes, 1u) << row.what;
   }
@@ -79,7 +79,7 @@
   for (mt_engine_state_t state : {MT_ENGINE_DRAINING, MT_ENGINE_GONE}) {
     Relay r(1);
     r.declare();
-    r.ask(1, "/once/x");
+    r.request(1, "/once/x");
     r.fail(1, true);
     r.find("p1")->state = state;
     r.pass(500);
--- a/tests/rejection_test.cc
+++ b/tests/rejection_test.cc
@@ -55,7 +55,7 @@
   };
   for (const Row &row : rows) {
     Rejecting r(2);
-    r.ask(1, row.path);
+    r.request(1, row.path);
     mt_engine_t *first = r.started(1);
     ASSERT_NE(first, nullptr) << row.what;
     for (size_t i = 0; i < r.relay->engines.count; i++)
@@ -94,7 +94,7 @@
       mt_engine_request_accepted(e, r.now, r.now);
     r.now += std::max(row.later, (mt_ms_t)100); // after the hold
     r.find("m2")->peers.pending_prefill = row.queued;
-    r.ask(1, "/stream/x");
+    r.request(1, "/stream/x");
     ASSERT_NE(r.started(1), nullptr) << row.what;
     EXPECT_STREQ(r.started(1)->name, row.engine) << row.what;
   }
@@ -124,7 +124,7 @@
     mt_fair_share_get(&r.relay->shares, mtV_id("w2", 2))->peers = {
         100000, row.others * 1000};
     r.pass(200);
-    r.ask(1, "/stream/x");
+    r.request(1, "/stream/x");
     ASSERT_NE(r.started(1), nullptr) << row.what;
     r.finish(1, row.end);
     EXPECT_EQ(r.started(1) != nullptr, row.retried) << row.what;
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -116,10 +116,11 @@
       if (effects.count > 0) return; // for the test to inspect
     }
   }
-  // A request whose prompt has two segments; all requests share the first.
-  void ask (uint64_t number, const char *path, const char *key = "key-w1",
-            int64_t deadline = 5000, int64_t tokens = 1000,
-            const char *host = "h.example", uint64_t digest = 0) {
+  // A request arrives whose prompt has two segments; all requests share the
+  // first.
+  void request (uint64_t number, const char *path, const char *key = "key-w1",
+                int64_t deadline = 5000, int64_t tokens = 1000,
+                const char *host = "h.example", uint64_t digest = 0) {
     mt_relay_incoming_t incoming{};
     incoming.digest = digest;
     std::string id = "r" + std::to_string(number);
--- a/tests/relay_test.cc
+++ b/tests/relay_test.cc
@@ -33,7 +33,7 @@
     Relay r;
     if (row.declared) r.declare();
     r.relay->config_maybe_stale = row.config_maybe_stale;
-    r.ask(1, row.path, row.key, 5000, 1000, row.host);
+    r.request(1, row.path, row.key, 5000, 1000, row.host);
     EXPECT_EQ(r.refusal(), row.why) << row.path << " " << row.key;
     bool started = r.find(MT_RELAY_DO_START) != nullptr;
     EXPECT_EQ(started, row.why == MT_RELAY_REFUSAL_COUNT);
@@ -101,7 +101,7 @@
   for (const Row &row : rows) {
     Relay r;
     r.declare();
-    r.ask(1, row.path);
+    r.request(1, row.path);
     uint64_t first = r.find(MT_RELAY_DO_START)->u.start.engine;
     fail_with(r, row.how);
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
@@ -117,7 +117,7 @@
 TEST(RelayAttempts, EngineErrorIsForwardedWithoutRetry) {
   Relay r;
   r.declare();
-  r.ask(1, "/once/x");
+  r.request(1, "/once/x");
   r.sent(1);
   r.head(1, 500);
   EXPECT_EQ(r.find(MT_RELAY_DO_START), nullptr);
@@ -130,7 +130,7 @@
 TEST(RelayAttempts, EventsOfAnEarlierAttemptAreDropped) {
   Relay r;
   r.declare();
-  r.ask(1, "/again/x");
+  r.request(1, "/again/x");
   r.sent(1);
   r.fail(1);
   mt_relay_event_t late = r.make_event(MT_RELAY_END, 1, 1);
@@ -144,7 +144,7 @@
   r.declare();
   r.relay->params.retry.slack = 0;
   r.relay->params.retry.ratio = 0;
-  r.ask(1, "/again/x");
+  r.request(1, "/again/x");
   r.sent(1);
   r.fail(1);
   EXPECT_EQ(r.refusal(), MT_RELAY_ENGINE_LOST);
@@ -162,7 +162,7 @@
   for (const Row &row : rows) {
     Relay r;
     r.declare();
-    r.ask(1, "/again/x");
+    r.request(1, "/again/x");
     r.sent(1);
     r.head(1, 200, false, MT_RELAY_RAN, row.framed);
     r.data(1, "body");
@@ -175,7 +175,7 @@
 TEST(RelayStreams, ResumeElsewhereAfterLastWholeEvent) {
   Relay r;
   r.declare();
-  r.ask(1, "/stream/x");
+  r.request(1, "/stream/x");
   r.sent(1);
   r.head(1, 200, true);
   r.event(1, 1);
@@ -203,7 +203,7 @@
 TEST(RelayStreams, ErrorResponseDoesNotContinueAStream) {
   Relay r;
   r.declare();
-  r.ask(1, "/stream/x");
+  r.request(1, "/stream/x");
   r.sent(1);
   r.head(1, 200, true);
   r.event(1, 1);
@@ -218,7 +218,7 @@
 TEST(RelayStreams, EndInsideAnEventAborts) {
   Relay r;
   r.declare();
-  r.ask(1, "/events/x");
+  r.request(1, "/events/x");
   r.sent(1);
   r.head(1, 200, true);
   r.event(1, 1);
@@ -231,7 +231,7 @@
 TEST(RelayStreams, SilentEngineIsReplaced) {
   Relay r;
   r.declare();
-  r.ask(1, "/stream/x");
+  r.request(1, "/stream/x");
   uint64_t first = r.find(MT_RELAY_DO_START)->u.start.engine;
   r.sent(1);
   r.head(1, 200, true);
@@ -253,7 +253,7 @@
   for (const Row &row : rows) {
     Relay r;
     r.declare();
-    r.ask(1, row.path, "key-w1", 300);
+    r.request(1, row.path, "key-w1", 300);
     EXPECT_EQ(r.find(MT_RELAY_DO_START)->u.start.deadline_ms, 300u);
     if (row.sent) r.sent(1);
     if (row.event) {
@@ -289,7 +289,7 @@
     stop.u.stop_ms = 8000;
     r.step(stop);
     r.pass(row.after);
-    r.ask(1, row.path, "key-w1", 1000);
+    r.request(1, row.path, "key-w1", 1000);
     EXPECT_EQ(r.refusal(), row.why) << row.path << row.after;
   }
 }
@@ -297,7 +297,7 @@
 TEST(RelayCallers, DisconnectCancelsTheAttempt) {
   Relay r;
   r.declare();
-  r.ask(1, "/stream/x");
+  r.request(1, "/stream/x");
   r.sent(1);
   r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
   EXPECT_NE(r.find(MT_RELAY_DO_CANCEL), nullptr);
@@ -311,13 +311,13 @@
     r.declare();
     r.find("p1")->state = state;
     for (uint64_t i = 1; i <= 20; i++) {
-      r.ask(i, "/again/x");
+      r.request(i, "/again/x");
       ASSERT_NE(r.find(MT_RELAY_DO_START), nullptr);
       EXPECT_EQ(r.find(MT_RELAY_DO_START)->u.start.engine,
                 mt_engine_key("p2", 2));
     }
     r.find("p2")->state = state;
-    r.ask(21, "/again/x");
+    r.request(21, "/again/x");
     EXPECT_EQ(r.refusal(), MT_RELAY_NO_ENGINE);
   }
 }
@@ -341,7 +341,7 @@
     mt_relay_engine_unlisted(r.relay, e, r.now, r.now);
     if (row.listed_again) e->unlisted_since = 0;
     r.pass(row.later);
-    r.ask(1, "/again/x");
+    r.request(1, "/again/x");
     EXPECT_EQ(r.find(MT_RELAY_DO_START) != nullptr, row.used) << row.later;
   }
 }
@@ -353,7 +353,7 @@
   b.declare();
   for (uint64_t i = 1; i <= 10; i++) {
     Relay &r = i % 2 ? a : b;
-    r.ask(i, "/stream/x", "key-w1", 5000, 400);
+    r.request(i, "/stream/x", "key-w1", 5000, 400);
     used.insert(r.find(MT_RELAY_DO_START)->u.start.engine);
     r.sent(i);
     r.head(i, 200, true);
@@ -368,7 +368,7 @@
   std::set<uint64_t> used;
   uint64_t i = 1;
   for (; i < 200; i++) {
-    r.ask(i, "/stream/x", "key-w1", 5000, 4000);
+    r.request(i, "/stream/x", "key-w1", 5000, 4000);
     const mt_relay_effect_t *fx = r.find(MT_RELAY_DO_START);
     if (fx == nullptr) break;
     used.insert(fx->u.start.engine);
@@ -433,7 +433,7 @@
   int taken[2] = {0, 0};
   const char *keys[] = {"key-w1", "key-w2"};
   for (uint64_t i = 1; i <= 40; i++) {
-    r.ask(i, "/stream/x", keys[i % 2], 5000, 2000);
+    r.request(i, "/stream/x", keys[i % 2], 5000, 2000);
     taken[i % 2] += r.find(MT_RELAY_DO_START) != nullptr;
   }
   EXPECT_GT(taken[1], taken[0]);
@@ -459,7 +459,7 @@
     r.relay->shares.level = 1e4;
     r.find("m1")->peers.pending_prefill =
         (int64_t)(15 * mt_relay_prefill_rate(r.relay, mtV_id("model", 5)));
-    r.ask(1, "/stream/x", row.key);
+    r.request(1, "/stream/x", row.key);
     EXPECT_EQ(r.find(MT_RELAY_DO_START) != nullptr, row.taken) << row.served;
   }
 }
@@ -550,9 +550,9 @@
         uint64_t number = ++next;
         once[number] = path == 0 || path == 3;
         open.insert(number);
-        r.ask(number, paths[path], random() % 2 ? "key-w1" : "key-w2",
-              200 + (int64_t)(random() % 3000),
-              200 + (int64_t)(random() % 3000));
+        r.request(number, paths[path], random() % 2 ? "key-w1" : "key-w2",
+                  200 + (int64_t)(random() % 3000),
+                  200 + (int64_t)(random() % 3000));
         check_effects();
         continue;
       }
--- a/tests/restart_test.cc
+++ b/tests/restart_test.cc
@@ -52,7 +52,7 @@
     SCOPED_TRACE(row.what);
     Relay r(2);
     r.declare();
-    r.ask(1, row.path);
+    r.request(1, row.path);
     uint64_t engine = r.find(MT_RELAY_DO_START)->u.start.engine;
     r.sent(1);
     mt_relay_event_t event{};
