--- a/tests/prefix_holders_test.cc
+++ b/tests/prefix_holders_test.cc
@@ -56,7 +56,7 @@
     r.relay->params.off[MT_RELAY_HOLDERS] = row.off;
     mt_engine_t *holder = r.find("m3");
     holder->local.pending_prefill = 200000;
-    r.ask(1, "/stream/x", "key-w1", 5000, 8000);
+    r.request(1, "/stream/x", "key-w1", 5000, 8000);
     ASSERT_NE(r.find(MT_RELAY_DO_GET_QUOTES), nullptr) << row.what;
     if (row.gone) holder->state = MT_ENGINE_GONE;
     std::vector<mt_relay_quote_t> quotes;
@@ -84,7 +84,7 @@
   struct Row {
     const char *what;
     bool home;
-    int64_t pending_prefill; // of 4,000 shared and 1,000 own tokens
+    int64_t pending_prefill; // of 4,000 shared and 1,000 unshared tokens
     bool report;
   } rows[] = {{"shared segments, away from home", false, 5000, true},
               {"the unshared segment only", false, 1000, false},
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -13,8 +13,8 @@
   QuarantineRelay() : Relay(4) {
     declare();
   }
-  void ask_suspect (uint64_t number, const char *path = "/once/x") {
-    ask(number, path, "key-w1", 5000, 1000, "h.example", kDigest);
+  void request_suspect (uint64_t number, const char *path = "/once/x") {
+    request(number, path, "key-w1", 5000, 1000, "h.example", kDigest);
   }
   const mt_suspect_message_t *message (mt_suspect_message_kind_t kind) const {
     for (size_t i = 0; i < effects.count; i++)
@@ -47,7 +47,8 @@
     event.u.tried.verdict = verdict;
     step(event);
   }
-  // Both owners grant their leases; returns the engine that it is sent to.
+  // The owners of the suspect and of the engine grant their leases; returns
+  // the engine that the request is sent to.
   uint64_t granted (uint64_t number) {
     tried(number, MT_TRIAL_GRANTED);
     if (message(MT_SUSPECT_MESSAGE_LEASE_ENGINE) == nullptr) return 0;
@@ -83,20 +84,20 @@
   } rows[] = {
       {"connections are refused", true, false, true, false, true},
       {"connections come up", true, true, false, false, false},
-      {"it is unreachable", true, false, false, false, false},
-      {"its entry expires later", true, false, false, true, true},
+      {"the engine is unreachable", true, false, false, false, false},
+      {"the engine's entry is removed later", true, false, false, true, true},
       {"the request was not sent yet", false, false, true, false, false},
   };
   for (const Row &row : rows) {
     SCOPED_TRACE(row.what);
     QuarantineRelay r;
-    r.ask_suspect(1);
+    r.request_suspect(1);
     uint64_t engine = r.started();
     ASSERT_NE(engine, 0u);
     if (row.sent) r.sent(1);
     r.fail(1, !row.sent);
-    bool tries = r.find(MT_RELAY_DO_PROBE) != nullptr;
-    EXPECT_EQ(tries, row.sent);
+    bool probes = r.find(MT_RELAY_DO_PROBE) != nullptr;
+    EXPECT_EQ(probes, row.sent);
     r.probed(engine, row.up, row.refused);
     bool reported = r.message(MT_SUSPECT_MESSAGE_ENDED) != nullptr;
     if (row.gone) {
@@ -117,7 +118,7 @@
 // Datagrams may be lost, so the report is repeated.
 TEST(Quarantine, EndIsReportedThreeTimes) {
   QuarantineRelay r;
-  r.ask_suspect(1);
+  r.request_suspect(1);
   uint64_t engine = r.started();
   r.sent(1);
   r.fail(1);
@@ -134,13 +135,13 @@
 TEST(Quarantine, QuarantinedRequestsAreRefused) {
   QuarantineRelay r;
   r.set_state(MT_SUSPICION_QUARANTINE);
-  r.ask_suspect(1);
+  r.request_suspect(1);
   EXPECT_EQ(r.refusal(), MT_RELAY_QUARANTINED);
   EXPECT_EQ(r.find(MT_RELAY_DO_REFUSE)->u.refuse.retry_after, 600000u);
   EXPECT_EQ(mt_relay_refusal_status(MT_RELAY_QUARANTINED), 503);
-  r.ask(2, "/once/x", "key-w2", 5000, 1000, "h.example", kDigest);
+  r.request(2, "/once/x", "key-w2", 5000, 1000, "h.example", kDigest);
   EXPECT_NE(r.started(), 0u); // of another workspace
-  r.ask(3, "/once/x", "key-w1", 5000, 1000, "h.example", kDigest + 1);
+  r.request(3, "/once/x", "key-w1", 5000, 1000, "h.example", kDigest + 1);
   EXPECT_NE(r.started(), 0u); // another request
 }
 
@@ -161,7 +162,7 @@
     SCOPED_TRACE(row.what);
     QuarantineRelay r;
     r.set_state(MT_SUSPICION_PROBATION);
-    r.ask_suspect(1);
+    r.request_suspect(1);
     ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_LEASE), nullptr);
     EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_LEASE)->request, 1u);
     EXPECT_EQ(r.started(), 0u);
@@ -193,7 +194,7 @@
     SCOPED_TRACE(row.what);
     QuarantineRelay r;
     r.set_state(MT_SUSPICION_PROBATION);
-    r.ask_suspect(1, "/again/x");
+    r.request_suspect(1, "/again/x");
     if (row.outcome == 4) {
       r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
       r.tried(1, MT_TRIAL_GRANTED);
@@ -221,7 +222,7 @@
     EXPECT_EQ(message->digest, QuarantineRelay::digest());
     EXPECT_EQ(message->alone, row.outcome == 2);
     EXPECT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE),
-              nullptr); // in every case
+              nullptr); // whatever the outcome
   }
 }
 
@@ -234,10 +235,10 @@
   r.find("p3")->peers.running = 0;
   r.find("m2")->peers.running = 0;
   r.set_state(MT_SUSPICION_PROBATION);
-  r.ask_suspect(1);
+  r.request_suspect(1);
   EXPECT_EQ(r.granted(1), r.find("p3")->key);
   r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 1));
-  r.ask_suspect(2, "/stream/x");
+  r.request_suspect(2, "/stream/x");
   EXPECT_EQ(r.granted(2), r.find("m2")->key);
 }
 
@@ -245,7 +246,7 @@
 TEST(Quarantine, OneSuspectPerEngine) {
   QuarantineRelay r;
   r.set_state(MT_SUSPICION_PROBATION);
-  r.ask_suspect(1);
+  r.request_suspect(1);
   r.tried(1, MT_TRIAL_GRANTED);
   ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_LEASE_ENGINE), nullptr);
   uint64_t engine = r.message(MT_SUSPECT_MESSAGE_LEASE_ENGINE)->engine;
@@ -258,7 +259,7 @@
   r.tried(1, MT_TRIAL_GRANTED, MT_SUSPECT_MESSAGE_LEASE_ENGINE, engine);
   ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
   EXPECT_EQ(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE)->engine, engine);
-  r.ask_suspect(2);
+  r.request_suspect(2);
   engine = r.granted(2);
   r.step(r.make_event(MT_RELAY_CALLER_DISCONNECTED, 2));
   ASSERT_NE(r.message(MT_SUSPECT_MESSAGE_RELEASE_ENGINE), nullptr);
--- a/tests/rejection_test.cc
+++ b/tests/rejection_test.cc
@@ -33,8 +33,8 @@
   }
 };
 
-// Retries were not subject to the wait limit: the few engines that still took
-// work got queues of seconds, and all requests there were late.
+// Guards against retries that ignore the wait limit: the few engines that
+// still take work get queues of seconds, and all requests there are late.
 TEST(Rejection, RetryNeedsRoomLikeAFirstAttempt) {
   struct Row {
     const char *what;
@@ -49,13 +49,13 @@
       {"not sent, room elsewhere", "/stream/x", End::NOT_SENT, 0, true},
       {"not sent, a queue elsewhere", "/stream/x", End::NOT_SENT, 100000,
        false},
-      {"a run that was lost, a queue elsewhere", "/stream/x", End::LOST,
+      {"lost after it was sent, a queue elsewhere", "/stream/x", End::LOST,
        100000, true},
       {"a service without prompts", "/again/x", End::REJECTED, 0, true},
   };
   for (const Row &row : rows) {
     Rejecting r(2);
-    r.ask(1, row.path);
+    r.request(1, row.path);
     mt_engine_t *first = r.started(1);
     ASSERT_NE(first, nullptr) << row.what;
     for (size_t i = 0; i < r.relay->engines.count; i++)
@@ -67,8 +67,9 @@
   }
 }
 
-// An engine that rejected nearly everything looked idle and got as much work
-// as any other, although other engines had room.
+// Guards against placement that does not count rejections: an engine that
+// rejects nearly everything looks idle and gets as much work as any other,
+// although other engines have room.
 TEST(Rejection, RejectingEngineAttractsNoWork) {
   struct Row {
     const char *what;
@@ -93,14 +94,14 @@
       mt_engine_request_accepted(e, r.now, r.now);
     r.now += std::max(row.later, (mt_ms_t)100); // after the hold
     r.find("m2")->peers.pending_prefill = row.queued;
-    r.ask(1, "/stream/x");
+    r.request(1, "/stream/x");
     ASSERT_NE(r.started(1), nullptr) << row.what;
     EXPECT_STREQ(r.started(1)->name, row.engine) << row.what;
   }
 }
 
-// The workspace that sent most also used most of the retry budget, so that
-// workspaces that had got little were denied retries.
+// Guards against the workspace that sends most using up the retry budget, so
+// that workspaces that have got little are denied retries.
 TEST(Rejection, RetriesGoToWorkspacesBelowTheirShare) {
   struct Row {
     const char *what;
@@ -123,7 +124,7 @@
     mt_fair_share_get(&r.relay->shares, mtV_id("w2", 2))->peers = {
         100000, row.others * 1000};
     r.pass(200);
-    r.ask(1, "/stream/x");
+    r.request(1, "/stream/x");
     ASSERT_NE(r.started(1), nullptr) << row.what;
     r.finish(1, row.end);
     EXPECT_EQ(r.started(1) != nullptr, row.retried) << row.what;
