--- a/spec/config.pml
+++ b/spec/config.pml
@@ -6,7 +6,7 @@
 ** memory while the store may be away.
 **
 ** Steps and functions: PUBLISH mtU_write, swaphead (mtpublish.c);
-** FETCH mtK_stored; HEARD mtK_heard, mtK_head; ADOPT adopt (mtconf.c);
+** FETCH mtK_store_reply; HEARD mtK_peer_revision, mtK_recv_head; ADOPT apply (mtconf.c);
 ** RESTART mtR_new (mtcore.c).
 **
 ** Mutations: BREAK_OLD adopts whatever it hears, BREAK_CAS writes blindly.
--- a/spec/fleet.pml
+++ b/spec/fleet.pml
@@ -9,7 +9,7 @@
 **   GRANT      issue (mtsched.c)          TAKE     mtE_grant (mtedge.c)
 **   CLAIM      mtE_request, mtD_claim     CLAIMED  mtE_claimed (mtedge.c)
 **   RUN        start (mtedge.c)           FAIL     mtE_failed (mtedge.c)
-**   RESTART    mtR_new (mtcore.c)         LEAVE    adopt (mtconf.c)
+**   RESTART    mtR_new (mtcore.c)         LEAVE    apply (mtconf.c)
 **
 ** Mutations, one per property (-DBREAK_x): CLAIM runs without a claim,
 ** NOTRUN says "not-run" after a lost attempt, LEAVING ignores that the
