--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -14,10 +14,10 @@
 
 /* A reported load expires after this time unless it is repeated. */
 #define LOAD_VALID_MS 2500
-/* Minimum interval between greetings of one peer. A greeting is larger than
+/* Minimum interval between two syncs of one peer. A sync is larger than
    the datagram that causes it, which may be forged: this limits
    amplification. */
-#define GREET_MIN_INTERVAL_MS 200
+#define SYNC_MIN_INTERVAL_MS 200
 #define READ_BATCH_MAX 4096 /* datagrams in one tick */
 
 struct mt_gateway_peers_t {
@@ -525,16 +525,16 @@
 ** live, or it has restarted so soon that it still counts as live, though it
 ** has lost its state.
 */
-static bool needs_greeting (const mt_membership_t *members,
-                            const mt_peer_t *peer, uint64_t boot) {
+static bool needs_sync (const mt_membership_t *members, const mt_peer_t *peer,
+                        uint64_t boot) {
   if (!mt_membership_is_live(members, peer)) return true;
   return boot != peer->synced_boot &&
-         members->now >= peer->synced_at + GREET_MIN_INTERVAL_MS;
+         members->now >= peer->synced_at + SYNC_MIN_INTERVAL_MS;
 }
 
 /* Sends a new router the state that is otherwise only sent on changes. */
-static void greet (mt_gateway_peers_t *peers, mt_peer_t *peer,
-                   const mt_peer_message_t *m) {
+static void sync_peer (mt_gateway_peers_t *peers, mt_peer_t *peer,
+                       const mt_peer_message_t *m) {
   peer->synced_boot = m->boot;
   peer->synced_at = peers->members.now;
   log_peer(peers, peer->ip, "heard");
@@ -550,11 +550,11 @@
   peers->members.now = mt_boot_clock_now(peers->loop);
   mt_peer_t *peer = mt_membership_add(&peers->members, ip);
   if (peer == NULL) return;
-  bool is_new = needs_greeting(&peers->members, peer, m->boot);
+  bool is_new = needs_sync(&peers->members, peer, m->boot);
   peer->last_seen = peers->members.now;
   mt_feed_exchange_receive_header(&peers->feeds, peer, m);
   dispatch(peers, peer, m);
-  if (is_new) greet(peers, peer, m);
+  if (is_new) sync_peer(peers, peer, m);
 }
 
 static void on_datagram (uv_udp_t *udp, ssize_t n, const uv_buf_t *buf,
