--- a/src/gateway/gateway_settings.c
+++ b/src/gateway/gateway_settings.c
@@ -147,7 +147,7 @@
   set->descriptors = (size_t)mtJ_int(doc, "descriptors", descriptor_limit());
   read_terms(doc, &set->params, faults);
   set->params.max_running = mt_min(
-      (size_t)MT_MAX_RUNNING, (size_t)(RUNNING_FRACTION * set->descriptors));
+      (size_t)MT_RUNNING_MAX, (size_t)(RUNNING_FRACTION * set->descriptors));
   set->params.unlisted_grace_ms =
       (mt_ms_t)((double)mtJ_int(doc, "drain_ms", DRAIN_MS) *
                 UNLISTED_FRACTION);
--- a/src/mtconf.c
+++ b/src/mtconf.c
@@ -29,16 +29,16 @@
   }
   const char *name;
   json_t *v;
-  json_t *buckets = json_object();
+  json_t *workspace_sections = json_object();
   char key[MT_NAME_MAX + 32];
   json_object_foreach (json_object_get(doc, "workspaces"), name, v) {
-    snprintf(key, sizeof key, "workspaces/%d", mtF_bucket(name));
-    if (json_object_get(buckets, key) == NULL)
-      json_object_set_new(buckets, key, json_object());
-    json_object_set(json_object_get(buckets, key), name, v);
+    snprintf(key, sizeof key, "workspaces/%d", mtF_section(name));
+    if (json_object_get(workspace_sections, key) == NULL)
+      json_object_set_new(workspace_sections, key, json_object());
+    json_object_set(json_object_get(workspace_sections, key), name, v);
   }
-  json_object_foreach (buckets, name, v) putpart(parts, name, v);
-  json_decref(buckets);
+  json_object_foreach (workspace_sections, name, v) putpart(parts, name, v);
+  json_decref(workspace_sections);
   json_object_foreach (json_object_get(doc, "policies"), name, v) {
     snprintf(key, sizeof key, "policies/%s", name);
     putpart(parts, key, v);
@@ -122,7 +122,7 @@
   mtF_free(S->fleet);
   S->fleet = F;
   S->conf.revision = F->revision;
-  S->conf.adopted = S->now;
+  S->conf.applied_at = S->now;
   S->members.epoch++;
   mtR_count(S, MT_C_CONFIG_APPLIED);
   mtR_log(S, MT_INFO, MT_L_CONFIG,
@@ -214,7 +214,7 @@
     missing++;
     if (request) request_part(S, from, json_string_value(v));
   }
-  if (request) S->conf.requested = S->now;
+  if (request) S->conf.requested_at = S->now;
   if (missing == 0) apply_wanted(S, sections);
 done:
   json_decref(head);
@@ -239,7 +239,7 @@
   S->conf.watching = false;
   S->conf.nextpoll = S->now;
   if (ev->u.config_head.status == 200) {
-    S->conf.seen = true;
+    S->conf.store_replied = true;
     S->conf.store_revision =
         mt_max(S->conf.store_revision, ev->u.config_head.store_revision);
     mtK_recv_head(S, 0, ev->u.config_head.revision, ev->u.config_head.text);
@@ -247,7 +247,7 @@
     S->conf.nextpoll =
         S->now + REQUEST_RETRY_MS + mtV_random(&S->random) % REQUEST_RETRY_MS;
   } else {
-    S->conf.seen = true;
+    S->conf.store_replied = true;
   }
 }
 
@@ -306,17 +306,18 @@
 }
 
 void mtK_tick (mt_state_t *S) {
-  if (S->conf.wanted != 0 && S->now - S->conf.requested >= REQUEST_RETRY_MS) {
+  if (S->conf.wanted != 0 &&
+      S->now - S->conf.requested_at >= REQUEST_RETRY_MS) {
     /* Half of the retries go to the store, as the peer may be gone. */
     bool store = mtV_random(&S->random) % 2;
     fetch_or_apply(S, store ? 0 : S->conf.wantedfrom, true);
   }
   if (S->conf.watching || S->now < S->conf.nextpoll) return;
-  if (iswatcher(S) && S->conf.seen) {
+  if (iswatcher(S) && S->conf.store_replied) {
     S->conf.watching = true;
     mtR_effect(S, MT_FX_WATCH_CONFIG_HEAD, 0)->u.revision =
         S->conf.store_revision;
-  } else if (!S->conf.seen || S->conf.revision == 0) {
+  } else if (!S->conf.store_replied || S->conf.revision == 0) {
     S->conf.watching = true;
     mtR_effect(S, MT_FX_GET_CONFIG_HEAD, 0);
   } else {
--- a/src/mtcore.c
+++ b/src/mtcore.c
@@ -23,11 +23,11 @@
   return fx;
 }
 
-void mtR_log (mt_state_t *S, mt_level_t level, mt_component_t part,
+void mtR_log (mt_state_t *S, mt_level_t level, mt_component_t component,
               const char *fmt, ...) {
   mt_effect_t *fx = mtR_effect(S, MT_FX_LOG, 0);
   fx->u.log.level = level;
-  fx->u.log.part = part;
+  fx->u.log.component = component;
   va_list ap;
   va_start(ap, fmt);
   vsnprintf(fx->u.log.text, sizeof fx->u.log.text, fmt, ap);
--- a/src/mtedge.c
+++ b/src/mtedge.c
@@ -64,8 +64,8 @@
 /* Frees an attempt's slot and charges its cost; a negative one is not
    charged. */
 static void endattempt (mt_state_t *S, mt_req_t *r, int64_t cost,
-                        bool whole) {
-  if (cost >= 0) mtQ_settle(S, r, cost, whole);
+                        bool complete) {
+  if (cost >= 0) mtQ_settle(S, r, cost, complete);
   mtQ_adjust_running(S, r, -1);
 }
 
@@ -98,7 +98,7 @@
   if (S->draining) return MT_DRAINING;
   *p = poolfor(S, request);
   if (*p == NULL || !mtF_mayuse(*w, *p)) return MT_NO_MODEL;
-  if (S->edge.waiting >= MT_MAX_WAITING) return MT_ROUTER_QUEUE_FULL;
+  if (S->edge.waiting >= MT_WAITING_MAX) return MT_ROUTER_QUEUE_FULL;
   if (mtQ_get(S, (*w)->id, (*p)->id)->n >= (*w)->maxwaiting)
     return MT_WS_QUEUE_FULL;
   return anytarget(S, (*p)->id) ? MT_OK : MT_NO_TARGET;
@@ -106,7 +106,8 @@
 
 /*
 ** The target for a session that this router does not know: by rendezvous
-** hashing, in proportion to the speeds, so that every router picks the same.
+** hashing, in proportion to the speeds up to SPEED_MAX, so that every router
+** picks the same.
 */
 static mt_id_t default_target (mt_state_t *S, uint64_t session,
                                mt_id_t pool) {
@@ -150,16 +151,16 @@
   if (program == NULL) return;
   mt_policy_decision_t choice;
   mt_fault_t fault;
-  mt_policy_request_t pask = {.workspace = w->name,
-                              .model = request->model,
-                              .stream = request->stream,
-                              .session = request->session != 0};
-  pask.promptbytes = request->promptbytes;
-  pask.maxtokens = request->maxtokens;
-  pask.domain = S->members.self->domain;
+  mt_policy_request_t policy_request = {.workspace = w->name,
+                                        .model = request->model,
+                                        .stream = request->stream,
+                                        .session = request->session != 0};
+  policy_request.promptbytes = request->promptbytes;
+  policy_request.maxtokens = request->maxtokens;
+  policy_request.domain = S->members.self->domain;
   mtR_count(S, MT_C_POLICY_RUNS);
   const mt_pool_t *pool = mtF_pool(S->fleet, r->pool);
-  if (mtP_decide(program, S->fleet, pool, &pask, &choice, &fault) !=
+  if (mtP_decide(program, S->fleet, pool, &policy_request, &choice, &fault) !=
       MT_P_OK) {
     mtR_count(S, MT_C_POLICY_FAILED);
     mtR_log(S, MT_WARN, MT_L_POLICY,
@@ -395,11 +396,11 @@
     drop(S, r);
     return;
   }
-  bool may = !r->resumed && (notrun || r->repeatable);
+  bool may_retry = !r->resumed && (notrun || r->repeatable);
   mt_rejection_t why = notrun                ? MT_TARGET_UNREACHABLE
                        : ev->u.failed.silent ? MT_TARGET_TIMEOUT
                                              : MT_TARGET_LOST;
-  if (!may || r->attempt >= MT_MAX_ATTEMPTS)
+  if (!may_retry || r->attempt >= MT_ATTEMPTS_MAX)
     reject(S, r, why);
   else if (!spend_budget(S, r))
     reject(S, r, MT_RETRY_BUDGET_SPENT);
--- a/src/mtevent.h
+++ b/src/mtevent.h
@@ -144,7 +144,7 @@
     uint64_t claim; /* CLAIM, RELEASE: the idempotency key's hash */
     struct {
       mt_level_t level;
-      mt_component_t part;
+      mt_component_t component;
       char text[160];
     } log;
   } u;
--- a/src/mtfleet.c
+++ b/src/mtfleet.c
@@ -33,7 +33,7 @@
 static const mt_field_t workspacefields[] = {
     {"key_sha256", MT_F_STRING, true, MT_DIGEST_HEX, MT_DIGEST_HEX},
     {"share", MT_F_INT, false, 1, MT_SHARE_MAX},
-    {"max_waiting", MT_F_INT, false, 1, MT_MAX_WAITING},
+    {"max_waiting", MT_F_INT, false, 1, MT_WAITING_MAX},
     {"policy", MT_F_NAME, false, 0, 0},
     {"pools", MT_F_NAMES, false, 0, 0},
 };
@@ -212,10 +212,10 @@
   F->doc = json_incref(doc);
   F->revision = revision;
   checkkeys(doc, fs);
-  addtable(F, "pools", MT_MAX_POOLS, addpool, fs);
-  addtable(F, "targets", MT_MAX_TARGETS, addtarget, fs);
-  addtable(F, "policies", MT_MAX_WORKSPACES, addpolicy, fs);
-  addtable(F, "workspaces", MT_MAX_WORKSPACES, addworkspace, fs);
+  addtable(F, "pools", MT_POOLS_MAX, addpool, fs);
+  addtable(F, "targets", MT_TARGETS_MAX, addtarget, fs);
+  addtable(F, "policies", MT_WORKSPACES_MAX, addpolicy, fs);
+  addtable(F, "workspaces", MT_WORKSPACES_MAX, addworkspace, fs);
   checkpolicies(F, fs);
   setdefault(F);
   if (fs->n == 0) return F;
@@ -286,7 +286,7 @@
   return false;
 }
 
-int mtF_bucket (const char *workspace) {
+int mtF_section (const char *workspace) {
   return (int)(mtV_hash(workspace, strlen(workspace)) % MT_WS_SECTIONS);
 }
 
--- a/src/mtfleet.h
+++ b/src/mtfleet.h
@@ -93,6 +93,6 @@
 bool mtF_mayuse (const mt_workspace_t *w, const mt_pool_t *p);
 
 /* Number of the section that stores a workspace, 0 to MT_WS_SECTIONS - 1. */
-int mtF_bucket (const char *workspace);
+int mtF_section (const char *workspace);
 
 #endif
--- a/src/mtfront.c
+++ b/src/mtfront.c
@@ -92,7 +92,7 @@
   }
   uint64_t id = c->id;
   mt_front_t *O = c->O;
-  if (c->followers != NULL) return; /* the run goes on for them */
+  if (c->followers != NULL) return; /* they still need the reply */
   report_disconnect(O, id);
   if (find(O, id) == c) free_request(c);
 }
@@ -141,8 +141,8 @@
 }
 
 /* Rejects a request that has not been passed to the reducer. */
-static void refusenow (mt_front_t *O, mt_webreq_t *r, mt_rejection_t why,
-                       const char *detail) {
+static void reject_now (mt_front_t *O, mt_webreq_t *r, mt_rejection_t why,
+                        const char *detail) {
   O->X->S->counts.rejections[why]++;
   reply_error(r, why, mtA_rejection(why)->notrun, detail);
 }
@@ -478,7 +478,7 @@
   json_t *doc = json_loadb(raw.p, raw.n, JSON_REJECT_DUPLICATES, &err);
   const char *error = doc ? body_error(doc) : err.text;
   if (error != NULL) {
-    refusenow(O, r, MT_BAD_REQUEST, error);
+    reject_now(O, r, MT_BAD_REQUEST, error);
     json_decref(doc);
     return;
   }
@@ -504,7 +504,7 @@
   size_t rest = path.n - end;
   if (end == at || method.n >= 8 ||
       rest + query.n + 3 > sizeof((request_t *)0)->path) {
-    refusenow(
+    reject_now(
         O, r, MT_BAD_REQUEST,
         "the path must be /services/NAME and at most 509 bytes of path and query; the method has at most 7 bytes");
     return;
@@ -532,7 +532,7 @@
   const mt_fleet_t *F = O->X->S->fleet;
   const mt_workspace_t *w = F ? mtF_bykey(F, digest) : NULL;
   if (w == NULL) {
-    refusenow(O, r, F ? MT_BAD_KEY : MT_NO_CONFIG, NULL);
+    reject_now(O, r, F ? MT_BAD_KEY : MT_NO_CONFIG, NULL);
     return;
   }
   json_t *data = json_array();
@@ -565,7 +565,7 @@
   bool valid = mtH_verify(&O->X->set, text, &token) &&
                token.expires >= (uint64_t)time(NULL);
   if (!valid || *end != '\0' || n < 0) {
-    refusenow(O, r, valid ? MT_BAD_REQUEST : MT_BAD_TOKEN, NULL);
+    reject_now(O, r, valid ? MT_BAD_REQUEST : MT_BAD_TOKEN, NULL);
     return;
   }
   request_t *c = new_request(O, r);
@@ -588,9 +588,9 @@
   mt_front_t *O = ud;
   char digest[MT_DIGEST_HEX + 1];
   if (!keydigest(r, digest)) {
-    refusenow(O, r, MT_BAD_KEY, "send Authorization: Bearer KEY");
+    reject_now(O, r, MT_BAD_KEY, "send Authorization: Bearer KEY");
   } else if (mtB_body(r).n > MT_BODY_MAX) {
-    refusenow(O, r, MT_TOO_LARGE, "the body is larger than 8 MiB");
+    reject_now(O, r, MT_TOO_LARGE, "the body is larger than 8 MiB");
   } else if (mtB_is(r, "POST", "/v1/chat/completions")) {
     completion(O, r, digest);
   } else if (mtB_is(r, "GET", "/v1/models")) {
@@ -600,7 +600,7 @@
   } else if (startswith(mtB_path(r), SERVICES)) {
     service(O, r, digest);
   } else {
-    refusenow(O, r, MT_NO_ROUTE, NULL);
+    reject_now(O, r, MT_NO_ROUTE, NULL);
   }
 }
 
@@ -626,8 +626,8 @@
 void mtO_check_callers (mt_front_t *O) {
   mtV_each (&O->requests, i) {
     request_t *c = O->requests.vals[i];
-    bool unanswered = c->r != NULL && !c->head_sent && c->leader == NULL;
-    if (unanswered && mtB_disconnected(c->r)) mark_disconnected(O, c->id);
+    bool awaiting_reply = c->r != NULL && !c->head_sent && c->leader == NULL;
+    if (awaiting_reply && mtB_disconnected(c->r)) mark_disconnected(O, c->id);
   }
   flush_disconnected(O);
 }
--- a/src/mtledger.c
+++ b/src/mtledger.c
@@ -65,7 +65,8 @@
   return r;
 }
 
-static void droplanes (mt_ws_row_t *r) {
+/* Clears a row's backlogs and its estimate for running requests. */
+static void clear_demand (mt_ws_row_t *r) {
   for (size_t i = 0; i < r->nbacklogs; i++) free(r->backlogs[i].targets);
   free(r->backlogs);
   r->backlogs = NULL;
@@ -75,7 +76,7 @@
 
 static void free_rows (mt_map_t *rows) {
   mtV_each (rows, i) {
-    droplanes(rows->vals[i]);
+    clear_demand(rows->vals[i]);
     free(rows->vals[i]);
   }
   mtV_free(rows);
@@ -114,7 +115,7 @@
   mt_account_t *a = mtS_account(G, r->ws);
   if (r->nbacklogs == 0 && r->pending == 0) return;
   sumlocal(a, r, -1);
-  droplanes(r);
+  clear_demand(r);
   sumlocal(a, r, 1);
   a->dirty = true;
 }
@@ -322,7 +323,7 @@
   d->last_received = S->now;
   if (x->full) {
     setcurrent(G, d, false);
-    mtV_each (&d->rows, i) droplanes(d->rows.vals[i]);
+    mtV_each (&d->rows, i) clear_demand(d->rows.vals[i]);
   }
   setcurrent(G, d, true);
   for (size_t i = 0; i < x->nrows; i++) merge_row(G, d, &x->rows[i]);
@@ -341,7 +342,7 @@
 /* Clears a row's waiting requests; the estimate of running ones stays. */
 static void clear_waiting (mt_ws_row_t *r) {
   mt_units_t pending = r->pending;
-  droplanes(r);
+  clear_demand(r);
   r->pending = pending;
 }
 
@@ -401,7 +402,7 @@
 static size_t sharing_domains (mt_state_t *S, const mt_sched_t *G,
                                mt_id_t *out) {
   size_t n = mtM_domains(S, out);
-  for (size_t i = 0; i < S->fleet->ntargets && n < MT_MAX_DOMAINS; i++) {
+  for (size_t i = 0; i < S->fleet->ntargets && n < MT_DOMAINS_MAX; i++) {
     const mt_target_t *t = &S->fleet->targets[i];
     if (t->pool != G->pool) continue;
     size_t j = 0;
@@ -456,7 +457,7 @@
   bool keepalive =
       busy && S->now - G->last_exchange >= MT_EXCHANGE_TTL_MS / 3;
   if (x->nrows > 0 || G->fresh || keepalive) {
-    mt_id_t domains[MT_MAX_DOMAINS];
+    mt_id_t domains[MT_DOMAINS_MAX];
     size_t n = sharing_domains(S, G, domains);
     for (size_t i = 0; i < n; i++) send_to_domain(S, G, &m, domains[i]);
     G->last_exchange = S->now;
--- a/src/mtledger.h
+++ b/src/mtledger.h
@@ -15,7 +15,7 @@
 /* Results of a grant. */
 #define MT_GRANT_UNUSED 0 /* nothing waited, or the grant was stale */
 #define MT_GRANT_USED 1
-#define MT_GRANT_UNREACHABLE 2 /* target unknown, leaving or in backoff */
+#define MT_GRANT_UNREACHABLE 2 /* target unknown, draining or in backoff */
 
 /* Merges a router's demand report; an outdated one is ignored. */
 void mtS_report (mt_state_t *S, mt_sched_t *G, mt_id_t from,
--- a/src/mtlimits.h
+++ b/src/mtlimits.h
@@ -20,19 +20,19 @@
 
 /* {== Counts =========================================================== */
 
-#define MT_MAX_NODES 1024
-#define MT_MAX_DOMAINS 64
-#define MT_MAX_POOLS 128
-#define MT_MAX_WORKSPACES 16384
-#define MT_MAX_TARGETS 8192
+#define MT_NODES_MAX 1024
+#define MT_DOMAINS_MAX 64
+#define MT_POOLS_MAX 128
+#define MT_WORKSPACES_MAX 16384
+#define MT_TARGETS_MAX 8192
 #define MT_POOL_TARGETS_MAX 512    /* targets of one pool */
-#define MT_MAX_WAITING 8192        /* queued in one router: some 94 MB */
-#define MT_MAX_RUNNING 16384       /* requests in progress at one router */
+#define MT_WAITING_MAX 8192        /* queued in one router: some 94 MB */
+#define MT_RUNNING_MAX 16384       /* requests in progress at one router */
 #define MT_WS_WAITING_DEFAULT 4096 /* queued requests of one workspace */
 #define MT_AFFINITY_WINDOW 256     /* requests searched for affinity */
 /* Sections of the stored configuration over which workspaces are hashed. */
 #define MT_WS_SECTIONS 64
-#define MT_MAX_ATTEMPTS 3   /* attempts at one request */
+#define MT_ATTEMPTS_MAX 3   /* attempts at one request */
 #define MT_REPLICAS 2       /* routers that hold a scheduler's state */
 #define MT_WATCHERS 2       /* routers per domain that watch the store */
 #define MT_BORDER_ROUTERS 2 /* per domain: link it to the others */
@@ -54,14 +54,14 @@
 #define MT_EXCHANGE_BYTES_PER_S 4000 /* exchanges of one scheduler */
 #define MT_EXCHANGE_TTL_MS 3000  /* lifetime of a remote domain's demand */
 #define MT_GRANT_TIMEOUT_MS 1500 /* until a grant or offer is taken back */
-/* Age of the demand report that a grant answers at which it is rejected. */
+/* A grant is declined when the demand report it is based on is older. */
 #define MT_GRANT_STALE_MS 2000
 #define MT_TARGET_BACKOFF_MS 1000  /* no request to a target that failed */
 #define MT_WAIT_MAX_MS 120000      /* longest wait in a queue; the default */
 #define MT_RETRY_BACKOFF_MS 50     /* doubled by each attempt */
 #define MT_CLAIM_TIMEOUT_MS 2000   /* until a claim is no longer retried */
 #define MT_LONG_POLL_MS 10000      /* one watch request to the store */
-#define MT_POLL_MS 5000            /* until a router checks its watch role */
+#define MT_POLL_MS 5000            /* for a non-watcher to check its role */
 #define MT_CONNECT_TIMEOUT_MS 2000 /* also silence of the store */
 #define MT_TARGET_IDLE_MS 60000    /* silence of a target in an attempt */
 #define MT_CALLER_CHECK_MS 1000    /* interval of checks for lost callers */
--- a/src/mtmember.c
+++ b/src/mtmember.c
@@ -76,7 +76,8 @@
   refute(S, n->inc);
 }
 
-/* True when this router itself has had a message from the member lately. */
+/* True when this router itself has had a message from the member lately; a
+   third router's report of its death is then ignored. */
 static bool received_recently (const mt_state_t *S, const mt_member_t *m) {
   return m->last_received != 0 && S->now - m->last_received < MT_SUSPECT_MS;
 }
@@ -89,7 +90,7 @@
     return;
   }
   if (m == NULL) {
-    if (S->members.byid.used >= MT_MAX_NODES || n->state >= MT_LEFT) return;
+    if (S->members.byid.used >= MT_NODES_MAX || n->state >= MT_LEFT) return;
     add_member(S, n);
     mtR_log(S, MT_INFO, MT_L_PEER, "router %s joined in domain %s", n->name,
             n->domain);
@@ -164,21 +165,22 @@
   if (m->view_sent == 0) sendview(S, m, true);
 }
 
-void mtM_heartbeat (mt_state_t *S, mt_id_t from, const mt_heartbeat_t *b) {
+void mtM_heartbeat (mt_state_t *S, mt_id_t from, const mt_heartbeat_t *hb) {
   mt_member_t *m = mtM_get(S, from);
   if (m == NULL || m == S->members.self) return;
   mt_node_t n = m->node;
-  n.inc = b->inc;
-  n.state = b->state;
-  bool wasdead = m->node.state == MT_DEAD && b->inc == m->node.inc &&
-                 b->state != MT_DEAD;
+  n.inc = hb->inc;
+  n.state = hb->state;
+  bool wasdead = m->node.state == MT_DEAD && hb->inc == m->node.inc &&
+                 hb->state != MT_DEAD;
   if (wasdead) {
-    sendview(S, m, true); /* it has its death, which the member refutes */
+    /* The view contains the death of the member, which then refutes it. */
+    sendview(S, m, true);
     return;
   }
   mergenode(S, &n);
-  m->revision = b->revision;
-  if (b->digest == S->members.digest)
+  m->revision = hb->revision;
+  if (hb->digest == S->members.digest)
     m->mismatches = 0;
   else
     handle_mismatch(S, m);
@@ -264,7 +266,7 @@
     if (m->node.state > worst) continue;
     size_t j = 0;
     while (j < n && out[j] != m->domain) j++;
-    if (j == n && n < MT_MAX_DOMAINS) out[n++] = m->domain;
+    if (j == n && n < MT_DOMAINS_MAX) out[n++] = m->domain;
   }
   return n;
 }
@@ -368,7 +370,7 @@
   for (int r = 0; r < MT_BORDER_ROUTERS; r++)
     border |= mtM_ranked(S, self->domain, MT_ROLE_BORDER, r) == self->id;
   if (!border) return;
-  mt_id_t domains[MT_MAX_DOMAINS];
+  mt_id_t domains[MT_DOMAINS_MAX];
   size_t n = domainsof(S, MT_DEAD, domains);
   for (size_t i = 0; i < n; i++) {
     if (domains[i] == self->domain) continue;
--- a/src/mtmember.h
+++ b/src/mtmember.h
@@ -20,7 +20,7 @@
 void mtM_tick (mt_state_t *S, mt_ms_t gap);
 
 /* Handlers of messages; `from` is the sender. */
-void mtM_heartbeat (mt_state_t *S, mt_id_t from, const mt_heartbeat_t *b);
+void mtM_heartbeat (mt_state_t *S, mt_id_t from, const mt_heartbeat_t *hb);
 void mtM_view (mt_state_t *S, mt_id_t from, const mt_node_t *nodes, size_t n);
 void mtM_hello (mt_state_t *S, const mt_node_t *n);
 
@@ -46,7 +46,7 @@
 */
 mt_id_t mtM_ranked (mt_state_t *S, mt_id_t domain, uint64_t role, int rank);
 
-/* Writes the domains that have members to out[MT_MAX_DOMAINS]; returns their
+/* Writes the domains that have members to out[MT_DOMAINS_MAX]; returns their
    number. */
 size_t mtM_domains (mt_state_t *S, mt_id_t *out);
 
--- a/src/mtmsg.c
+++ b/src/mtmsg.c
@@ -9,7 +9,7 @@
 
 #include "mtmsg.h"
 
-#define ROWS_MAX MT_MAX_WORKSPACES
+#define ROWS_MAX MT_WORKSPACES_MAX
 #define BACKLOGS_MAX 64
 
 static const char *const kinds[] = {
@@ -319,14 +319,14 @@
   d->boot = getuint(c, UINT64_MAX);
   if (d->domain == 0 || d->pool == 0) fail(c, MT_MSG_RANGE);
   getrows(c, &d->rows, &d->nrows);
-  cursor_t in = getarray(c, 2 * MT_MAX_TARGETS);
+  cursor_t in = getarray(c, 2 * MT_TARGETS_MAX);
   while (in.left > 0 && in.err == MT_MSG_OK) {
     mt_running_t *r = mtV_push(d->running, d->nrunning, d->running_cap);
     r->target = getid(&in);
     r->count = getcount(&in);
   }
   fail(c, in.err);
-  in = getarray(c, 2 * MT_MAX_RUNNING);
+  in = getarray(c, 2 * MT_RUNNING_MAX);
   while (in.left > 0 && in.err == MT_MSG_OK) {
     mt_grant_result_t *t = mtV_push(d->results, d->nresults, d->results_cap);
     t->grant = getuint(&in, UINT64_MAX);
@@ -362,7 +362,7 @@
 }
 
 static void getview (cursor_t *c, mt_msg_t *m) {
-  cursor_t in = getarray(c, MT_MAX_NODES);
+  cursor_t in = getarray(c, MT_NODES_MAX);
   m->u.view.nodes =
       in.left ? mtV_new(in.left * sizeof *m->u.view.nodes) : NULL;
   while (in.left > 0 && in.err == MT_MSG_OK)
--- a/src/mtops.c
+++ b/src/mtops.c
@@ -108,7 +108,7 @@
                (double)(ru.ru_utime.tv_usec + ru.ru_stime.tv_usec) / 1e6;
   put(t, "martentiller_config_revision %lld\n", (long long)S->conf.revision);
   put(t, "martentiller_config_age_seconds %.1f\n",
-      (double)(S->now - S->conf.adopted) / 1000.0);
+      (double)(S->now - S->conf.applied_at) / 1000.0);
   put(t, "martentiller_requests_waiting %zu\n", S->edge.waiting);
   put(t, "martentiller_requests_running %zu\n", S->edge.inprogress);
   put(t, "martentiller_cpu_seconds_total %.3f\n", cpu);
@@ -203,7 +203,7 @@
 
 /* }== */
 
-static void totals (mt_webreq_t *r, int code, const char *text) {
+static void reply_text (mt_webreq_t *r, int code, const char *text) {
   mt_header_t h = {"content-type", "text/plain"};
   mtB_reply(r, code, &h, 1, text, strlen(text));
 }
@@ -213,17 +213,17 @@
   if (mtB_is(r, "GET", "/metrics")) {
     metrics(X, r);
   } else if (mtB_is(r, "GET", "/healthz")) {
-    totals(r, 200, "ok\n");
+    reply_text(r, 200, "ok\n");
   } else if (mtB_is(r, "GET", "/readyz")) {
     bool ready = X->S->fleet != NULL && !X->S->draining;
-    totals(r, ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
+    reply_text(r, ready ? 200 : 503, ready ? "ready\n" : "not ready\n");
   } else if (mtB_is(r, "GET", "/status")) {
     status(X, r);
   } else if (mtB_is(r, "POST", "/drain")) {
-    totals(r, 202, "draining\n");
+    reply_text(r, 202, "draining\n");
     mt_event_t ev = {.kind = MT_EV_DRAIN};
     mtX_step(X, &ev);
   } else {
-    totals(r, 404, "no such page\n");
+    reply_text(r, 404, "no such page\n");
   }
 }
--- a/src/mtpeer.h
+++ b/src/mtpeer.h
@@ -38,8 +38,9 @@
 
 /*
 ** Sends a packed message, opening a connection if there is none; with n 0
-** nothing is sent but the connection is opened. When it fails, or more than
-** 4 MiB wait for it, it is closed and what waits is lost.
+** nothing is sent but the connection is opened. When the connection fails, or
+** more than 4 MiB are queued for it, it is closed and the queued messages are
+** lost.
 */
 void mtN_send (mt_peers_t *N, const mt_addr_t *to, const char *bytes,
                size_t n);
--- a/src/mtpolicy.c
+++ b/src/mtpolicy.c
@@ -100,7 +100,8 @@
   lua_setfield(L, -2, name);
 }
 
-/* pcall for programs: does not catch the error of the instruction limit. */
+/* pcall for programs: does not catch the error of the instruction limit, so
+   that a program cannot run beyond the limit. */
 static int sandbox_pcall (lua_State *L) {
   int status = lua_pcall(L, lua_gettop(L) - 1, LUA_MULTRET, 0);
   if (program_of(L)->outofsteps) return lua_error(L);
@@ -341,7 +342,7 @@
   if (lua_isnil(L, -1)) return 0;
   if (!lua_istable(L, -1)) return luaL_error(L, "limits must return a table");
   readlimit(L, "share", MT_SHARE_MAX, c->share);
-  readlimit(L, "max_waiting", MT_MAX_WAITING, c->maxwaiting);
+  readlimit(L, "max_waiting", MT_WAITING_MAX, c->maxwaiting);
   return 0;
 }
 
@@ -460,12 +461,12 @@
   }
   mt_program_t *p = mtP_compile(text, fault);
   if (p == NULL) return false;
-  mt_fleet_t *madeup = F ? NULL : sample_fleet();
+  mt_fleet_t *sample = F ? NULL : sample_fleet();
   bool ok = F ? dryrun_pools(p, F, MT_RUN_DRY_FLEET, fault)
-              : dryrun_pools(p, madeup, MT_RUN_DRY_SAMPLE, fault);
+              : dryrun_pools(p, sample, MT_RUN_DRY_SAMPLE, fault);
   int share = 1, waiting = 1;
   if (ok) ok = mtP_limits(p, "dry-run", &share, &waiting, fault) == MT_P_OK;
-  mtF_free(madeup);
+  mtF_free(sample);
   mtP_free(p);
   return ok;
 }
--- a/src/mtpublish.c
+++ b/src/mtpublish.c
@@ -37,12 +37,12 @@
   char *text;
 } reply_t;
 
-static void onreply (void *ud, const mt_storereply_t *a) {
+static void onreply (void *ud, const mt_storereply_t *reply) {
   reply_t *out = ud;
-  out->status = a->status;
-  out->revision = a->revision;
-  out->text = mtV_new(a->text.n + 1);
-  memcpy(out->text, a->text.p, a->text.n);
+  out->status = reply->status;
+  out->revision = reply->revision;
+  out->text = mtV_new(reply->text.n + 1);
+  memcpy(out->text, reply->text.p, reply->text.n);
   uv_stop(out->loop);
 }
 
@@ -99,11 +99,12 @@
                       const char *digest) {
   char key[MT_DIGEST_HEX + 32];
   snprintf(key, sizeof key, MT_KEY_PART "%s", digest);
-  reply_t a;
-  get(U, key, &a);
-  if (a.status == 200) json_object_set_new(parts, name, json_string(a.text));
-  bool ok = a.status == 200;
-  free(a.text);
+  reply_t reply;
+  get(U, key, &reply);
+  if (reply.status == 200)
+    json_object_set_new(parts, name, json_string(reply.text));
+  bool ok = reply.status == 200;
+  free(reply.text);
   return ok;
 }
 
@@ -128,25 +129,25 @@
 
 mt_uerr_t mtU_read (mt_publisher_t *U, mt_snapshot_t *out) {
   memset(out, 0, sizeof *out);
-  reply_t a;
-  get(U, MT_KEY_HEAD, &a);
+  reply_t reply;
+  get(U, MT_KEY_HEAD, &reply);
   mt_uerr_t err = MT_U_OK;
   json_t *head = NULL;
-  if (a.status == 404) {
+  if (reply.status == 404) {
     out->doc = json_pack("{s:{},s:{},s:{},s:{}}", table_names[0],
                          table_names[1], table_names[2], table_names[3]);
     out->history = json_array();
-  } else if (a.status != 200) {
+  } else if (reply.status != 200) {
     err = MT_U_UNREACHABLE;
   } else {
-    head = json_loads(a.text, 0, NULL);
-    out->head_revision = a.revision;
+    head = json_loads(reply.text, 0, NULL);
+    out->head_revision = reply.revision;
     out->revision = mtJ_int(head, "revision", 0);
     out->history = json_deep_copy(json_object_get(head, "history"));
     err = head ? readparts(U, head, out) : MT_U_CORRUPT;
   }
   json_decref(head);
-  free(a.text);
+  free(reply.text);
   return err;
 }
 
@@ -210,13 +211,14 @@
                 MT_VALUE_MAX);
       return MT_U_INVALID;
     }
-    reply_t a = {.status = 0};
-    for (int i = 0; i < ATTEMPTS_MAX && a.status != 200 && a.status != 409;
+    reply_t reply = {.status = 0};
+    for (int i = 0;
+         i < ATTEMPTS_MAX && reply.status != 200 && reply.status != 409;
          i++) {
       if (i > 0) wait_retry_delay(U);
-      put(U, key, 0, s, &a);
+      put(U, key, 0, s, &reply);
     }
-    if (a.status != 200 && a.status != 409) return MT_U_UNREACHABLE;
+    if (reply.status != 200 && reply.status != 409) return MT_U_UNREACHABLE;
   }
   return MT_U_OK;
 }
@@ -225,18 +227,18 @@
 static mt_uerr_t swaphead (mt_publisher_t *U, const mt_snapshot_t *base,
                            const char *text, int64_t *revision) {
   for (int i = 0; i < ATTEMPTS_MAX; i++) {
-    reply_t a;
-    put(U, MT_KEY_HEAD, base->head_revision, text, &a);
-    if (a.status == 200) return MT_U_OK;
-    get(U, MT_KEY_HEAD, &a);
-    bool mine = a.status == 200 && strcmp(a.text, text) == 0;
-    bool moved = a.status == 200 && a.revision != base->head_revision;
+    reply_t reply;
+    put(U, MT_KEY_HEAD, base->head_revision, text, &reply);
+    if (reply.status == 200) return MT_U_OK;
+    get(U, MT_KEY_HEAD, &reply);
+    bool mine = reply.status == 200 && strcmp(reply.text, text) == 0;
+    bool moved = reply.status == 200 && reply.revision != base->head_revision;
     if (moved && !mine) {
-      json_t *head = json_loads(a.text, 0, NULL);
+      json_t *head = json_loads(reply.text, 0, NULL);
       *revision = mtJ_int(head, "revision", 0);
       json_decref(head);
     }
-    free(a.text);
+    free(reply.text);
     if (mine) return MT_U_OK;
     if (moved) return MT_U_CONFLICT;
     wait_retry_delay(U);
--- a/src/mtpublish.h
+++ b/src/mtpublish.h
@@ -24,7 +24,7 @@
   MT_U_UNREACHABLE, /* no usable reply from the store */
   MT_U_CONFLICT,    /* another change has replaced the head */
   MT_U_INVALID,     /* the new configuration is invalid or too large */
-  MT_U_CORRUPT      /* a stored part is missing, unreadable or invalid */
+  MT_U_CORRUPT      /* head or a part: missing, unreadable or invalid */
 } mt_uerr_t;
 
 typedef struct mt_publisher_t mt_publisher_t;
--- a/src/mtqueue.c
+++ b/src/mtqueue.c
@@ -10,7 +10,7 @@
 
 #define SKIPS_MAX 128   /* times that a request is passed over for affinity */
 #define FINAL_REPORTS 3 /* full reports after the last request has ended */
-#define RETRY_COST 100  /* of a budget's units, for one retry */
+#define RETRY_COST 100  /* in hundredths of a retry, as budgets count */
 #define IMMEDIATE_MAX 4 /* queue length up to which changes do not wait */
 #define RECENT_MS 10000 /* full reports omit queues idle for longer */
 #define BUDGET_MAX (100 * RETRY_COST) /* 100 retries */
@@ -233,12 +233,12 @@
   mark_changed(S, q, false);
 }
 
-void mtQ_settle (mt_state_t *S, mt_req_t *r, int64_t cost, bool whole) {
+void mtQ_settle (mt_state_t *S, mt_req_t *r, int64_t cost, bool complete) {
   mt_queue_t *q = mtQ_get(S, r->ws, r->pool);
   mt_units_t total = units(S, r->ws, cost);
   if (total < r->charged) q->credit += r->charged - total;
   mtQ_charge(S, r, cost);
-  if (!whole) return;
+  if (!complete) return;
   mtZ_add(&q->costs, cost);
   mtZ_add(poolcosts(S, q->pool), cost);
 }
@@ -258,8 +258,8 @@
       (mt_grant_result_t){g->id, used};
 }
 
-static mt_backlog_t *lanefor (mt_ws_row_t *row, size_t *cap,
-                              const mt_req_t *r) {
+static mt_backlog_t *backlog_for (mt_ws_row_t *row, size_t *cap,
+                                  const mt_req_t *r) {
   for (size_t i = 0; i < row->nbacklogs; i++)
     if (row->backlogs[i].set == r->set) return &row->backlogs[i];
   mt_backlog_t *l = mtV_push(row->backlogs, row->nbacklogs, *cap);
@@ -282,7 +282,7 @@
       row->backlogs[0].waiting += q->n - seen;
       return;
     }
-    mt_backlog_t *l = lanefor(row, &cap, r);
+    mt_backlog_t *l = backlog_for(row, &cap, r);
     l->waiting++;
     if (l->preferred == 0) l->preferred = r->affinity;
   }
--- a/src/mtqueue.h
+++ b/src/mtqueue.h
@@ -28,9 +28,9 @@
    of cost; a smaller total than before is ignored. */
 void mtQ_charge (mt_state_t *S, mt_req_t *r, int64_t cost);
 
-/* Sets the final charge of an attempt; with `whole`, its cost enters the
+/* Sets the final charge of an attempt; with `complete`, its cost enters the
    estimates. */
-void mtQ_settle (mt_state_t *S, mt_req_t *r, int64_t cost, bool whole);
+void mtQ_settle (mt_state_t *S, mt_req_t *r, int64_t cost, bool complete);
 
 /* Adds the result of a grant (MT_GRANT_USED etc.) to the next reports to its
    issuer and to this domain's scheduler. */
--- a/src/mtrouter.c
+++ b/src/mtrouter.c
@@ -39,23 +39,24 @@
   return revision;
 }
 
-static void onhead (void *ud, const mt_storereply_t *a) {
+static void onhead (void *ud, const mt_storereply_t *reply) {
   storecall_t *k = ud;
   mt_event_t ev = {.kind = MT_EV_CONFIG_HEAD};
-  ev.u.config_head.status = a->status;
-  ev.u.config_head.text = a->text;
-  ev.u.config_head.store_revision = a->revision;
-  if (a->status == 200) ev.u.config_head.revision = headrevision(a->text);
+  ev.u.config_head.status = reply->status;
+  ev.u.config_head.text = reply->text;
+  ev.u.config_head.store_revision = reply->revision;
+  if (reply->status == 200)
+    ev.u.config_head.revision = headrevision(reply->text);
   mtX_step(k->X, &ev);
   free(k);
 }
 
-static void onpart (void *ud, const mt_storereply_t *a) {
+static void onpart (void *ud, const mt_storereply_t *reply) {
   storecall_t *k = ud;
   mt_event_t ev = {.kind = MT_EV_CONFIG_PART};
-  ev.u.part.status = a->status;
+  ev.u.part.status = reply->status;
   ev.u.part.digest = (mt_bytes_t){k->digest, strlen(k->digest)};
-  ev.u.part.text = a->text;
+  ev.u.part.text = reply->text;
   mtX_step(k->X, &ev);
   free(k);
 }
@@ -97,7 +98,7 @@
       break;
     case MT_FX_GET_CONFIG_PART: getpart(X, fx->u.digest); break;
     case MT_FX_LOG:
-      mtL_log(fx->u.log.level, fx->u.log.part, "%s", fx->u.log.text);
+      mtL_log(fx->u.log.level, fx->u.log.component, "%s", fx->u.log.text);
       break;
     case MT_FX_STOP: stop(X); break;
   }
--- a/src/mtsched.c
+++ b/src/mtsched.c
@@ -8,7 +8,7 @@
 #include "mtledger.h"
 #include "mtsched.h"
 
-#define TAKEOVER_WAIT_MS 600   /* longest wait for reports after a takeover */
+#define TAKEOVER_WAIT_MS 600   /* longest wait for routers' reports */
 #define FULL_EXCHANGE_MS 10000 /* interval of full exchanges */
 #define URGENT_GAP_MS 10       /* shortest gap before an urgent exchange */
 #define REMOTE_FIRST_EVERY 4   /* each 4th grant tries remote domains first */
@@ -106,7 +106,7 @@
   return n;
 }
 
-static bool inlane (const mt_backlog_t *l, mt_id_t target) {
+static bool backlog_may_use (const mt_backlog_t *l, mt_id_t target) {
   if (l->set == 0) return true;
   for (size_t i = 0; i < l->ntargets; i++)
     if (l->targets[i] == target) return true;
@@ -118,12 +118,14 @@
   return (int64_t)f->free_slots * 1000 / f->t->slots * f->t->speed;
 }
 
-/* The free target for a lane: the wanted one, else that of highest score. */
+/* The free target for a backlog: the preferred one, else that of highest
+   score. */
 static const mt_freetarget_t *choose (const mt_backlog_t *l,
                                       const mt_freetarget_t *free, size_t n) {
   const mt_freetarget_t *best = NULL;
   for (size_t i = 0; i < n; i++) {
-    if (free[i].free_slots <= 0 || !inlane(l, free[i].t->id)) continue;
+    if (free[i].free_slots <= 0 || !backlog_may_use(l, free[i].t->id))
+      continue;
     if (free[i].t->id == l->preferred) return &free[i];
     if (best == NULL || score(&free[i]) > score(best)) best = &free[i];
   }
@@ -153,8 +155,8 @@
   return n;
 }
 
-/* Finds a free target for a lane of a row. The first `unacked` requests are
-   skipped: they have been granted already. */
+/* Finds a free target for a backlog of a row. The first `unacked` requests
+   are skipped: they have been granted already. */
 static const mt_freetarget_t *match_row (const mt_ws_row_t *r,
                                          int32_t unacked,
                                          const mt_freetarget_t *free,
@@ -260,8 +262,8 @@
   if (to != 0) mtR_send(S, to, &m);
 }
 
-/* True once every live router of the domain has reported, or after
-   TAKEOVER_WAIT_MS. */
+/* True once every live router of the domain has reported, or TAKEOVER_WAIT_MS
+   after a takeover: until then slots that are in use would look free. */
 static bool has_reports (mt_state_t *S, mt_sched_t *G) {
   if (G->ready || mtR_standalone(S)) return true;
   if (S->now < S->members.paused_until) return false;
--- a/src/mtsched.h
+++ b/src/mtsched.h
@@ -4,7 +4,7 @@
 ** For each failure domain and pool one live router is the primary scheduler;
 ** a standby receives the same reports. See docs/DESIGN.md, "Sharing".
 ** Guarantees: the service of workspaces differs by a bounded amount, none
-** starves, no target idles while a request that may use it waits, a leaving
+** starves, no target idles while a request that may use it waits, a draining
 ** target gets no new request.
 */
 #ifndef mtsched_h
--- a/src/mtstate.h
+++ b/src/mtstate.h
@@ -110,8 +110,8 @@
   mt_map_t in_backoff; /* target -> time until which it gets no grant */
   mt_ms_t nextexchange, nextfull, last_exchange;
   mt_ms_t interval; /* between exchanges, within MT_EXCHANGE_BYTES_PER_S */
-  bool urgent;      /* an exchange is due early: queues here have grown */
-  bool dirty;       /* something changed since the last run */
+  bool urgent; /* more requests wait here without a slot: exchange early */
+  bool dirty;  /* something changed since the last run */
 } mt_sched_t;
 
 /* }== */
@@ -218,8 +218,12 @@
   int64_t store_revision; /* of the head's key, as the store last sent it */
   int64_t rejected;       /* the last invalid revision */
   mt_id_t wantedfrom;     /* router that sent the wanted head, 0: the store */
-  mt_ms_t adopted, nextpoll, requested;
-  bool watching, seen;
+  /* applied_at: when `revision` was put in force; nextpoll: no request for
+     the head before it; requested_at: last request for missing parts. */
+  mt_ms_t applied_at, nextpoll, requested_at;
+  /* watching: a read or watch of the head is in progress; store_replied: to
+     an earlier one, also that there is no head yet. */
+  bool watching, store_replied;
 } mt_conf_t;
 
 /* }== */
@@ -263,7 +267,7 @@
 mt_effect_t *mtR_effect (mt_state_t *S, mt_fxkind_t kind, uint64_t req);
 
 /* Appends a log line of at most 159 bytes. */
-void mtR_log (mt_state_t *S, mt_level_t level, mt_component_t part,
+void mtR_log (mt_state_t *S, mt_level_t level, mt_component_t component,
               const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /*
--- a/src/mtstore.c
+++ b/src/mtstore.c
@@ -66,9 +66,9 @@
     if (k->D->counts) mtA_inc(k->D->counts, MT_C_STORE_FAILED);
     k->status = 0;
   }
-  mt_storereply_t a = {
+  mt_storereply_t reply = {
       k->status, k->revision, {k->text ? k->text : "", k->n}};
-  if (k->fn) k->fn(k->ud, &a);
+  if (k->fn) k->fn(k->ud, &reply);
   free(k->text);
   free(k);
 }
@@ -154,32 +154,33 @@
     writeclaim(c);
 }
 
-static void onreadback (void *ud, const mt_storereply_t *a) {
+static void onreadback (void *ud, const mt_storereply_t *reply) {
   claim_t *c = ud;
-  if (a->status == 404)
+  if (reply->status == 404)
     c->D->lease[0] = '\0'; /* the lease may have expired: get a new one */
-  if (a->status == 200)
-    finish_claim(c, is_owner(c, a->text) ? MT_CR_OWNED : MT_CR_TAKEN);
+  if (reply->status == 200)
+    finish_claim(c, is_owner(c, reply->text) ? MT_CR_OWNED : MT_CR_TAKEN);
   else
     retry_claim(c);
 }
 
-static void onwritten (void *ud, const mt_storereply_t *a) {
+static void onwritten (void *ud, const mt_storereply_t *reply) {
   claim_t *c = ud;
-  if (a->status == 200)
+  if (reply->status == 200)
     finish_claim(c, MT_CR_OWNED);
   else
     mtD_get(c->D, c->key, onreadback, c);
 }
 
-static void onlease (void *ud, const mt_storereply_t *a) {
+static void onlease (void *ud, const mt_storereply_t *reply) {
   claim_t *c = ud;
-  if (a->status == 200 && a->text.n > 0 && a->text.n < sizeof c->D->lease) {
-    memcpy(c->D->lease, a->text.p, a->text.n);
-    c->D->lease[a->text.n] = '\0';
+  if (reply->status == 200 && reply->text.n > 0 &&
+      reply->text.n < sizeof c->D->lease) {
+    memcpy(c->D->lease, reply->text.p, reply->text.n);
+    c->D->lease[reply->text.n] = '\0';
     c->D->lease_created = uv_now(c->D->loop);
   }
-  if (a->status == 200)
+  if (reply->status == 200)
     writeclaim(c);
   else
     retry_claim(c);
@@ -216,10 +217,10 @@
   writeclaim(c);
 }
 
-static void onreleaseread (void *ud, const mt_storereply_t *a) {
+static void onreleaseread (void *ud, const mt_storereply_t *reply) {
   claim_t *c = ud;
-  if (a->status == 200 && is_owner(c, a->text))
-    mtD_delete(c->D, c->key, a->revision, NULL, NULL);
+  if (reply->status == 200 && is_owner(c, reply->text))
+    mtD_delete(c->D, c->key, reply->revision, NULL, NULL);
   free(c);
 }
 
--- a/src/mtstore.h
+++ b/src/mtstore.h
@@ -24,7 +24,7 @@
   mt_bytes_t text;
 } mt_storereply_t;
 
-typedef void (*mt_storefn_t)(void *ud, const mt_storereply_t *a);
+typedef void (*mt_storefn_t)(void *ud, const mt_storereply_t *reply);
 
 /* Opens a client; `counts` may be NULL. No connection is made yet. */
 mt_store_t *mtD_open (uv_loop_t *loop, const mt_addr_t *addr,
--- a/src/mtweb.c
+++ b/src/mtweb.c
@@ -112,10 +112,10 @@
 static void on_closed (void *ud, mt_http_exchange_t *exchange) {
   mt_webreq_t *r = mt_http_exchange_user(exchange);
   if (r == NULL) return;
-  void *watcher = r->ud;
+  void *callback_ud = r->ud;
   mt_webclosed_t gone = r->gone;
   finish(r);
-  if (gone != NULL && watcher != NULL) gone(watcher, r);
+  if (gone != NULL && callback_ud != NULL) gone(callback_ud, r);
 }
 
 static void on_drained (void *ud, mt_http_exchange_t *exchange) {
